--- a/packages/router/src/hemlockhall_router/policy/pipe.py
+++ b/packages/router/src/hemlockhall_router/policy/data_centre_link.py
@@ -17,7 +17,7 @@
 BURST_PART = 0.25
 
 
-class Pipes:
+class DataCentreLinks:
     """What this host sends through the pipes, as a backlog in seconds.
 
     All hosts share a pipe, and none sees what the others send. Each therefore
@@ -55,12 +55,12 @@
         """
         return transfer_s(model, tokens) * max(1.0, self._hosts() * BURST_PART)
 
-    def send(self, path: Path, model: Model, tokens: int) -> None:
+    def record_transfer(self, path: Path, model: Model, tokens: int) -> None:
         """Count the activations of ``tokens`` tokens that a path sends."""
         now = self._clock()
         took_s = transfer_s(model, tokens) * max(1, self._hosts())
-        before = path.parts[0].endpoint.data_centre
-        for part in path.parts[1:]:
+        before = path.stages[0].endpoint.data_centre
+        for part in path.stages[1:]:
             here = part.endpoint.data_centre
             if here != before:
                 pair = frozenset((before, here))
@@ -70,12 +70,17 @@
 
 def transfer_s(model: Model, tokens: int) -> float:
     """Return the seconds for which a prompt's activations take a pipe."""
-    if not model.pipe_mbps:
+    if not model.data_centre_link_mbps:
         return 0.0
-    return tokens * model.activation_bytes * 8 / (model.pipe_mbps * 1e6)
+    return (
+        tokens
+        * model.activation_bytes_per_token
+        * 8
+        / (model.data_centre_link_mbps * 1e6)
+    )
 
 
 __all__ = [
-    "Pipes",
+    "DataCentreLinks",
     "transfer_s",
 ]
--- a/packages/router/src/hemlockhall_router/policy/silence.py
+++ b/packages/router/src/hemlockhall_router/policy/silence.py
@@ -14,7 +14,7 @@
 FLOOR_PART = 0.6
 
 
-class EventInterval:
+class EventIntervalEstimator:
     """Moving average of the time between a stream's events, and its deviation.
 
     Events of a steady stream are missed sooner than its longest pause allows, and the
@@ -36,7 +36,7 @@
         self._average_s += AVERAGE_WEIGHT * error_s
         self._deviation_s += DEVIATION_WEIGHT * (abs(error_s) - self._deviation_s)
 
-    def silence_s(self, longest_s: float) -> float:
+    def silence_limit_s(self, longest_s: float) -> float:
         """Return the silence that is a surprise, ``longest_s`` at most."""
         if self._count < SETTLED:
             return longest_s
@@ -45,5 +45,5 @@
 
 
 __all__ = [
-    "EventInterval",
+    "EventIntervalEstimator",
 ]
--- a/packages/router/src/hemlockhall_router/policy/utilization.py
+++ b/packages/router/src/hemlockhall_router/policy/utilization.py
@@ -18,17 +18,17 @@
 # Milliseconds a token that a request is charged for each millisecond until its
 # prompt has been read. The first event has an objective of its own, so a delay at
 # the start counts more than one spread over all events.
-READING_WEIGHT = 0.1
+PREFILL_WEIGHT = 0.1
 
 
-def room(held: Held, model: Model) -> float:
+def token_capacity(held: Held, model: Model) -> float:
     """Return how many tokens of requests fit beside an endpoint's layers."""
     layers = held.endpoint.layers
     accelerator = model.accelerators.get(held.endpoint.accelerator)
     if layers is None or layers.size == 0 or accelerator is None:
         return 1.0
     free_mb = accelerator.memory_mb - layers.size * model.layer_mb
-    token_mb = model.kv_bytes / model.layers * layers.size / 1e6
+    token_mb = model.kv_bytes_per_token / model.layers * layers.size / 1e6
     return max(1.0, free_mb / token_mb) if token_mb else 1.0
 
 
@@ -37,7 +37,7 @@
 
     ``size`` is the request's tokens.
     """
-    return (held.token_load + size) / room(held, model)
+    return (held.token_load + size) / token_capacity(held, model)
 
 
 def load_penalty(part: float) -> float:
@@ -51,7 +51,7 @@
     return part * part / (SATURATION - part)
 
 
-def reading_ms(held: Held, model: Model, size: int, hosts: int) -> float:
+def prefill_ms(held: Held, model: Model, size: int, hosts: int) -> float:
     """Return the milliseconds for which one layer reads the prompts sent there.
 
     Streams of a lost endpoint go on elsewhere all at once, at all hosts, before
@@ -60,19 +60,25 @@
     otherwise all these prompts queue at the fastest endpoint.
     """
     accelerator = model.accelerators.get(held.endpoint.accelerator)
-    if accelerator is None or not model.read_per_s:
+    if accelerator is None or not model.prefill_tokens_per_s:
         return 0.0
     unread = max(held.unread * hosts, held.unread_elsewhere)
     tokens = unread + size
-    read_ms = tokens * accelerator.read_factor * held.pace / model.read_per_s * 1000
+    read_ms = (
+        tokens
+        * accelerator.prefill_factor
+        * held.slowdown
+        / model.prefill_tokens_per_s
+        * 1000
+    )
     return read_ms / model.layers
 
 
 __all__ = [
     "PENALTY_MS",
-    "READING_WEIGHT",
+    "PREFILL_WEIGHT",
     "load_penalty",
     "utilization",
-    "reading_ms",
-    "room",
+    "prefill_ms",
+    "token_capacity",
 ]
--- a/packages/router/src/hemlockhall_router/process/addresses.py
+++ b/packages/router/src/hemlockhall_router/process/addresses.py
@@ -25,7 +25,7 @@
         if other is None or other is held or other.endpoint.address != address:
             self._newest[address] = held
             return None
-        if 0 < held.endpoint.born < other.endpoint.born:
+        if 0 < held.endpoint.started_ms < other.endpoint.started_ms:
             return held
         self._newest[address] = held
         return other
--- a/packages/router/src/hemlockhall_router/process/catalog.py
+++ b/packages/router/src/hemlockhall_router/process/catalog.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from hemlockhall_router.version.replica import Division
+from hemlockhall_router.version.replica import ReplicaDivision
 
 if TYPE_CHECKING:
     from hemlockhall_router.process.directory import Directory, Held
@@ -25,7 +25,7 @@
 
     generation: int = -1
     endpoints: list[Held] = field(default_factory=list)
-    division: Division = field(default_factory=Division)
+    division: ReplicaDivision = field(default_factory=ReplicaDivision)
     replicas: dict[Replica, list[Held]] = field(default_factory=dict)
 
 
@@ -40,7 +40,7 @@
         """Return all endpoints of a service."""
         return self._entry(service, None).endpoints
 
-    def division(self, service: str, model: Model) -> Division:
+    def division(self, service: str, model: Model) -> ReplicaDivision:
         """Return how the data centres of a service are divided."""
         return self._entry(service, model).division
 
@@ -49,19 +49,19 @@
         service: str,
         model: Model,
         home: str,
-        starts_at: frozenset[str] | None = None,
+        first_endpoint_ids: frozenset[str] | None = None,
     ) -> list[Held]:
         """Return endpoints among which a request may find a path.
 
         Two replicas of the data centre ``home``, and those of others up to a bound;
-        with ``starts_at`` also the replicas of these endpoints. All of them if they
-        are few.
+        with ``first_endpoint_ids`` also the replicas of these endpoints. All of them
+        if they are few.
         """
         entry = self._entry(service, model)
         if len(entry.endpoints) <= SAMPLE:
             return entry.endpoints
         chosen: set[Replica] = set()
-        for key in starts_at or ():
+        for key in first_endpoint_ids or ():
             held = self._directory.held.get(key)
             if held is not None:
                 chosen.add(entry.division.replica(held.endpoint))
--- a/packages/router/src/hemlockhall_router/process/chooser.py
+++ b/packages/router/src/hemlockhall_router/process/chooser.py
@@ -6,12 +6,12 @@
 import time
 from typing import TYPE_CHECKING
 
-from hemlockhall_router.policy.pipe import transfer_s
+from hemlockhall_router.policy.data_centre_link import transfer_s
 from hemlockhall_router.policy.utilization import (
     PENALTY_MS,
-    READING_WEIGHT,
+    PREFILL_WEIGHT,
     load_penalty,
-    reading_ms,
+    prefill_ms,
     utilization,
 )
 from hemlockhall_router.version.path import EndpointCost, find_path
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from hemlockhall_router.policy.pipe import Pipes
+    from hemlockhall_router.policy.data_centre_link import DataCentreLinks
     from hemlockhall_router.process.directory import Directory, Held
     from hemlockhall_router.version.path import Path
     from hemlockhall_router.version.routing import Model, Service
@@ -48,7 +48,7 @@
         self,
         directory: Directory,
         home: str,
-        pipes: Pipes,
+        pipes: DataCentreLinks,
         hosts: Callable[[], int],
     ) -> None:
         self._directory = directory
@@ -79,7 +79,7 @@
         self,
         service: Service,
         tried: set[str],
-        starts_at: frozenset[str] | None = None,
+        first_endpoint_ids: frozenset[str] | None = None,
         size: int = 0,
     ) -> Path | None:
         """Return the path where a generation runs fastest and has room.
@@ -90,7 +90,7 @@
             The service; it has a path only if it has a model.
         tried : set of str
             Ids of endpoints that failed this request.
-        starts_at : frozenset of str, optional
+        first_endpoint_ids : frozenset of str, optional
             Ids of the endpoints that may receive the request.
         size : int
             Tokens of the request.
@@ -101,10 +101,10 @@
         now = time.monotonic()
         if now < self._none_deadlines.get(service.name, 0.0):
             return None
-        path = self._find(service, model, tried, size, starts_at)
+        path = self._find(service, model, tried, size, first_endpoint_ids)
         if path is not None:
             self._seen_at[service.name] = now
-        elif not tried and starts_at is None:
+        elif not tried and first_endpoint_ids is None:
             self._none_deadlines[service.name] = now + NONE_S
         return path
 
@@ -118,15 +118,15 @@
         model: Model,
         tried: set[str],
         size: int,
-        starts_at: frozenset[str] | None,
+        first_endpoint_ids: frozenset[str] | None,
     ) -> Path | None:
         catalog = self._directory.catalog
-        sample = catalog.sample(service.name, model, self._home, starts_at)
-        path = self._search(service, model, sample, tried, size, starts_at)
+        sample = catalog.sample(service.name, model, self._home, first_endpoint_ids)
+        path = self._search(service, model, sample, tried, size, first_endpoint_ids)
         endpoints = catalog.endpoints(service.name)
         if path is not None or len(sample) == len(endpoints):
             return path
-        return self._search(service, model, endpoints, tried, size, starts_at)
+        return self._search(service, model, endpoints, tried, size, first_endpoint_ids)
 
     def _search(
         self,
@@ -135,10 +135,10 @@
         candidates: list[Held],
         tried: set[str],
         size: int,
-        starts_at: frozenset[str] | None,
+        first_endpoint_ids: frozenset[str] | None,
     ) -> Path | None:
         # A prompt is read later by the time that its activations take the pipe.
-        pipe_ms = FAR_MS + READING_WEIGHT * 1000 * transfer_s(model, size)
+        pipe_ms = FAR_MS + PREFILL_WEIGHT * 1000 * transfer_s(model, size)
         burst_s = self._pipes.burst_s(model, size)
         costs = {}
         hosts = self._hosts()
@@ -157,7 +157,7 @@
             self._home,
             lambda endpoint: costs[endpoint.id],
             lambda here, there: pipe_ms + self._waiting_ms(here, there, burst_s),
-            starts_at,
+            first_endpoint_ids,
         )
 
     def _waiting_ms(self, here: str, there: str, burst_s: float) -> float:
@@ -169,14 +169,14 @@
     held: Held, model: Model, slots: int, size: int, hosts: int
 ) -> EndpointCost:
     """Return what one more request at an endpoint costs."""
-    factor = held.pace * random.uniform(1 - SPREAD, 1 + SPREAD)  # noqa: S311
+    factor = held.slowdown * random.uniform(1 - SPREAD, 1 + SPREAD)  # noqa: S311
     if held.doubtful:
         factor *= DOUBT_FACTOR
     memory_ms = PENALTY_MS * load_penalty(utilization(held, model, size))
     start_ms = 0.0
     if slots:
         start_ms = PENALTY_MS * load_penalty((held.load + 1) / slots)
-    layer_ms = READING_WEIGHT * reading_ms(held, model, size, hosts)
+    layer_ms = PREFILL_WEIGHT * prefill_ms(held, model, size, hosts)
     return EndpointCost(
         factor, layer_ms * factor, memory_ms * factor, start_ms * factor
     )
--- a/packages/router/src/hemlockhall_router/process/dialect.py
+++ b/packages/router/src/hemlockhall_router/process/dialect.py
@@ -12,9 +12,9 @@
 
     from hemlockhall_router.connection.message import Headers, RequestHead
     from hemlockhall_router.process.store import Store
-    from hemlockhall_router.version.endpoint import Endpoint, LayerRange, Report
+    from hemlockhall_router.version.endpoint import Endpoint, EndpointReport, LayerRange
     from hemlockhall_router.version.path import Path
-    from hemlockhall_router.version.routing import Routing
+    from hemlockhall_router.version.routing import RoutingConfig
 
 
 class DecodeError(Exception):
@@ -74,7 +74,7 @@
         """Return the store at an address."""
 
     @abstractmethod
-    def routing(self, key: str, value: bytes) -> Routing | None:
+    def routing(self, key: str, value: bytes) -> RoutingConfig | None:
         """Decode a row of the routing table; None if it holds none."""
 
     @abstractmethod
@@ -94,7 +94,7 @@
         """Return the call that asks an endpoint for its state."""
 
     @abstractmethod
-    def report(self, body: bytes) -> Report:
+    def report(self, body: bytes) -> EndpointReport:
         """Decode the answer to ``report_call``; raise ``DecodeError``."""
 
     @abstractmethod
--- a/packages/router/src/hemlockhall_router/process/directory.py
+++ b/packages/router/src/hemlockhall_router/process/directory.py
@@ -21,7 +21,7 @@
     from hemlockhall_router.process.store import Row
     from hemlockhall_router.process.timing import Timing
     from hemlockhall_router.request.running import Running
-    from hemlockhall_router.version.endpoint import Endpoint, Report
+    from hemlockhall_router.version.endpoint import Endpoint, EndpointReport
 
 # Seconds an endpoint that failed is left out, doubled with each failure in a
 # row: long enough for a restart of a process, short enough to try again soon.
@@ -84,7 +84,7 @@
     down: bool = False
     down_at: float = 0.0
     checked_at: float = 0.0
-    pace: float = 1.0
+    slowdown: float = 1.0
     leave_deadline: float | None = None
     key: int = 0
     refused_at: float = float("-inf")
@@ -102,7 +102,7 @@
         """Whether it should be asked again without a new reason."""
         if self.replaced:
             return False
-        return self.down or self.pace > 1.0 + PACE_STEP
+        return self.down or self.slowdown > 1.0 + PACE_STEP
 
     @property
     def doubtful(self) -> bool:
@@ -124,7 +124,7 @@
         self.failures = 0
         self.avoid_deadline = 0.0
         self.down = False
-        self.pace = 1.0
+        self.slowdown = 1.0
         self.shut_deadline = 0.0
         self.replaced = False
 
@@ -251,8 +251,8 @@
         """Return an entry of the store, with layers that are newer than it."""
         old = held.endpoint
         if held.ahead and old.incarnation == entry.incarnation:
-            if entry.orders < old.orders:
-                return replace(entry, orders=old.orders, layers=old.layers)
+            if entry.order_count < old.order_count:
+                return replace(entry, order_count=old.order_count, layers=old.layers)
         held.ahead = False
         return entry
 
@@ -265,7 +265,13 @@
                 continue
             layers = endpoint.layers
             found.append(
-                Fact(held.key, endpoint.born, endpoint.orders, layers.first, layers.end)
+                Fact(
+                    held.key,
+                    endpoint.started_ms,
+                    endpoint.order_count,
+                    layers.first,
+                    layers.end,
+                )
             )
         return found
 
@@ -278,12 +284,14 @@
         by_key = {held.key: held for held in self.held.values()}
         for fact in facts:
             held = by_key.get(fact.endpoint)
-            if held is None or held.endpoint.born != fact.born:
+            if held is None or held.endpoint.started_ms != fact.born:
                 continue
-            if held.endpoint.orders >= fact.orders:
+            if held.endpoint.order_count >= fact.orders:
                 continue
             layers = LayerRange(fact.first, fact.end)
-            held.endpoint = replace(held.endpoint, orders=fact.orders, layers=layers)
+            held.endpoint = replace(
+                held.endpoint, order_count=fact.orders, layers=layers
+            )
             held.ahead = True
             self._bump()
 
@@ -405,7 +413,7 @@
         if held is not None:
             held.refused_at = time.monotonic()
 
-    def _judge_refusal(self, held: Held, report: Report) -> None:
+    def _judge_refusal(self, held: Held, report: EndpointReport) -> None:
         """Tell an endpoint that leaves from one that is full.
 
         While the store is away an endpoint that leaves cannot say so. It refuses
@@ -473,30 +481,35 @@
         if down:
             _move(held, "endpoint down")
 
-    def reported(self, key: str, report: Report) -> None:
+    def reported(self, key: str, report: EndpointReport) -> None:
         """Take what an endpoint says of itself, if it is the same run."""
         held = self.held.get(key)
         if held is None or held.replaced:
             return
         self._judge_refusal(held, report)
         old = held.endpoint
-        if abs(held.pace - report.pace) > PACE_STEP:
-            logger.info("endpoint pace", endpoint=key, pace=report.pace)
-            held.pace = max(1.0, report.pace)
+        if abs(held.slowdown - report.slowdown) > PACE_STEP:
+            logger.info("endpoint pace", endpoint=key, pace=report.slowdown)
+            held.slowdown = max(1.0, report.slowdown)
             self._bump()
-        if report.born and old.born and report.born != old.born:
+        if report.started_ms and old.started_ms and report.started_ms != old.started_ms:
             # A restarted endpoint holds nothing of before.
             held.endpoint = replace(
-                old, born=report.born, orders=report.orders, layers=report.layers
+                old,
+                started_ms=report.started_ms,
+                order_count=report.order_count,
+                layers=report.layers,
             )
             self._bump()
             _move(held, "endpoint restarted")
             return
-        if report.orders < old.orders:
+        if report.order_count < old.order_count:
             # The report is older than what is known.
             return
-        if old.layers != report.layers or old.orders != report.orders:
-            held.endpoint = replace(old, orders=report.orders, layers=report.layers)
+        if old.layers != report.layers or old.order_count != report.order_count:
+            held.endpoint = replace(
+                old, order_count=report.order_count, layers=report.layers
+            )
             if old.layers != report.layers:
                 held.ahead = True
                 held.changed_at = time.monotonic()
--- a/packages/router/src/hemlockhall_router/process/front.py
+++ b/packages/router/src/hemlockhall_router/process/front.py
@@ -16,7 +16,7 @@
 from hemlockhall_router.request.reply import Reply
 from hemlockhall_router.request.stream import StreamRelay
 from hemlockhall_router.request.work import Work
-from hemlockhall_router.version.routing import Kind, Service
+from hemlockhall_router.version.routing import RouteKind, Service
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -26,7 +26,7 @@
     from hemlockhall_router.connection.message import RequestHead
     from hemlockhall_router.process.dialect import Tokens
     from hemlockhall_router.request.work import Tools
-    from hemlockhall_router.version.routing import Customer, Route, Routing
+    from hemlockhall_router.version.routing import Customer, Route, RoutingConfig
 
 # Seconds a caller waits that states no deadline.
 DEADLINE_S = 30.0
@@ -61,7 +61,9 @@
         Returns the configuration in force, or None.
     """
 
-    def __init__(self, tools: Tools, routing: Callable[[], Routing | None]) -> None:
+    def __init__(
+        self, tools: Tools, routing: Callable[[], RoutingConfig | None]
+    ) -> None:
         self._tools = tools
         self._routing = routing
         self._idle: set[anyio.CancelScope] = set()
@@ -187,7 +189,7 @@
             await reply.own(exc.status, exc.text, again_s)
             return
         self._tools.budget.request(work.service.name)
-        if work.route.kind is Kind.STREAM and work.service.model is not None:
+        if work.route.kind is RouteKind.STREAM and work.service.model is not None:
             await StreamRelay(work, self._tools, reply).run()
         else:
             await PlainRelay(work, self._tools, reply).run()
@@ -222,11 +224,11 @@
         )
 
     def _customer(
-        self, routing: Routing, route: Route, head: RequestHead
+        self, routing: RoutingConfig, route: Route, head: RequestHead
     ) -> Customer | None:
         key = head.header(self._tools.dialect.headers.api_key)
         customer = routing.customers.get(key.strip()) if key else None
-        if not routing.keys_wanted or route.public:
+        if not routing.keys_required or route.public:
             return customer
         if customer is None:
             raise _Refused(Refusal.UNKNOWN_KEY, 401, "the API key is not known")
@@ -248,9 +250,9 @@
 
 def _usual_s(route: Route, tokens: Tokens | None) -> float:
     """Return how long an answer usually takes, in seconds."""
-    if route.kind is not Kind.STREAM:
+    if route.kind is not RouteKind.STREAM:
         return min(route.timeout_s, PLAIN_S)
-    return route.objective_s + (tokens.answer if tokens else 0) * TOKEN_S
+    return route.latency_objective_s + (tokens.answer if tokens else 0) * TOKEN_S
 
 
 def _target(route: Route) -> str:
--- a/packages/router/src/hemlockhall_router/process/planner.py
+++ b/packages/router/src/hemlockhall_router/process/planner.py
@@ -17,8 +17,12 @@
 from hemlockhall_router.connection.error import WireError
 from hemlockhall_router.process.dialect import DecodeError
 from hemlockhall_router.process.prober import call_endpoint
-from hemlockhall_router.version.layout import plan, too_long, whole
-from hemlockhall_router.version.path import MAX_PARTS
+from hemlockhall_router.version.layout import (
+    endpoints_beyond_max_stages,
+    is_complete,
+    plan_layout,
+)
+from hemlockhall_router.version.path import MAX_STAGES
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -32,8 +36,8 @@
     from hemlockhall_router.process.timing import Timing
     from hemlockhall_router.version.endpoint import Endpoint, LayerRange
     from hemlockhall_router.version.layout import GroupState
-    from hemlockhall_router.version.replica import Division
-    from hemlockhall_router.version.routing import Model, Routing
+    from hemlockhall_router.version.replica import ReplicaDivision
+    from hemlockhall_router.version.routing import Model, RoutingConfig
 
 # Seconds between two plans.
 INTERVAL_S = 0.2
@@ -85,7 +89,7 @@
         lease: Lease,
         prober: Prober,
         metrics: Metrics,
-        routing: Callable[[], Routing | None],
+        routing: Callable[[], RoutingConfig | None],
         timing: Timing,
     ) -> None:
         self._dialect = dialect
@@ -139,9 +143,9 @@
         # A copy without some layers serves nobody. Waiting until the streams on
         # an endpoint have ended leaves it so for as long as they take, which
         # under load is many seconds; those few streams go on elsewhere.
-        at_once = not whole(model, members, serving, division)
+        at_once = not is_complete(model, members, serving, division)
         settled = self._settled.setdefault(service, set())
-        orders = plan(model, members, held, serving, fixed, division, settled)
+        orders = plan_layout(model, members, held, serving, fixed, division, settled)
         if not orders:
             if not fixed:
                 calm_deadline = now + CALM_INTERVAL_S
@@ -165,17 +169,17 @@
         model: Model,
         members: list[Endpoint],
         wanted: dict[str, LayerRange | None],
-        division: Division,
+        division: ReplicaDivision,
     ) -> frozenset[str]:
         """Return the endpoints that get no orders, as no request could use them."""
-        refused = too_long(model, members, wanted, division)
+        refused = endpoints_beyond_max_stages(model, members, wanted, division)
         if refused:
             self._metrics.count("plans_refused", "too_many_parts")
             logger.error(
                 "plan refused",
                 service=service,
                 endpoints=len(refused),
-                cause=f"its shortest path has more than {MAX_PARTS} parts; "
+                cause=f"its shortest path has more than {MAX_STAGES} parts; "
                 "add endpoints with more memory",
             )
         return refused
@@ -220,13 +224,15 @@
         seconds later. Both name the same number of orders before them, so the
         endpoint begins one of them and refuses the other.
         """
-        most = min(ORDERS_MAX, ORDERS_AT_ONCE * max(1, model.loads_at_once))
+        most = min(ORDERS_MAX, ORDERS_AT_ONCE * max(1, model.concurrent_loads))
         self._turns.total_tokens = most
         async with self._turns:
             if self._pending.get(endpoint.incarnation) is not order:
                 return
-            together = most / max(1, model.loads_at_once)
-            load_s = model.load_s * order.layers.size / model.layers * together
+            together = most / max(1, model.concurrent_loads)
+            load_s = (
+                model.load_all_layers_s * order.layers.size / model.layers * together
+            )
             order.deadline = time.monotonic() + load_s + LOAD_ALLOWANCE_S
             for _ in range(ORDER_TRIES):
                 if await self._place(endpoint, order):
@@ -244,15 +250,15 @@
         if report.layers == order.layers:
             self._directory.reported(endpoint.id, report)
             return True
-        if report.busy and order.sent and report.orders > order.follows:
+        if report.busy and order.sent and report.order_count > order.follows:
             await self._follow(endpoint, order)
             return True
         if report.busy:
             self._end(endpoint, order, "busy")
             return True
-        order.sent, order.follows = True, report.orders
+        order.sent, order.follows = True, report.order_count
         call = self._dialect.place_call(
-            order.layers, report.orders, self._lease.fence, at_once=order.at_once
+            order.layers, report.order_count, self._lease.fence, at_once=order.at_once
         )
         try:
             deadline = time.monotonic() + ORDER_S
--- a/packages/router/src/hemlockhall_router/process/prober.py
+++ b/packages/router/src/hemlockhall_router/process/prober.py
@@ -20,7 +20,7 @@
     from hemlockhall_router.process.dialect import Dialect
     from hemlockhall_router.process.directory import Directory
     from hemlockhall_router.request.running import Running
-    from hemlockhall_router.version.endpoint import Endpoint, Report
+    from hemlockhall_router.version.endpoint import Endpoint, EndpointReport
 
 # Seconds in which an endpoint answers for its state unless it is dead or cut off:
 # a stream there has to go on elsewhere within its route's longest pause.
@@ -184,7 +184,9 @@
         self._directory.set_down(key, down=False)
         self._directory.reported(key, report)
 
-    async def report(self, endpoint: Endpoint, patience_s: float = PATIENT_S) -> Report:
+    async def report(
+        self, endpoint: Endpoint, patience_s: float = PATIENT_S
+    ) -> EndpointReport:
         """Return an endpoint's state; raise ``WireError`` or ``DecodeError``."""
         deadline = time.monotonic() + patience_s
         response = await call_endpoint(endpoint, self._dialect.report_call(), deadline)
--- a/packages/router/src/hemlockhall_router/process/router.py
+++ b/packages/router/src/hemlockhall_router/process/router.py
@@ -19,7 +19,7 @@
 from hemlockhall_router.membership.hosts import Hosts
 from hemlockhall_router.membership.message import Contact, Load
 from hemlockhall_router.membership.tally import UNHEARD_MS
-from hemlockhall_router.policy.pipe import Pipes
+from hemlockhall_router.policy.data_centre_link import DataCentreLinks
 from hemlockhall_router.process.budget import Budget
 from hemlockhall_router.process.chooser import Chooser
 from hemlockhall_router.process.dialect import DecodeError, load_dialect
@@ -45,7 +45,7 @@
 
     from hemlockhall_router.process.setting import RouterSettings
     from hemlockhall_router.process.store import Row
-    from hemlockhall_router.version.routing import Routing
+    from hemlockhall_router.version.routing import RoutingConfig
 
 # Seconds between two rounds of small upkeep.
 UPKEEP_S = 0.25
@@ -80,7 +80,7 @@
         host = settings.host
         self._dialect = load_dialect(host.dialect, host.dialect_module)
         self._store = self._dialect.store(settings.store.address)
-        self.routing: Routing | None = None
+        self.routing: RoutingConfig | None = None
         self._timing = Timing(settings.bounds)
         own = Contact(
             host.name,
@@ -118,7 +118,7 @@
             self.hosts.usage,
         )
         self._prober = Prober(self._dialect, self.directory, self.hosts.near)
-        pipes = Pipes(self.hosts.sharers)
+        pipes = DataCentreLinks(self.hosts.sharers)
         chooser = Chooser(self.directory, host.data_centre, pipes, self.hosts.near)
         self._pool = Pool()
         tools = Tools(
--- a/packages/router/src/hemlockhall_router/request/attempt.py
+++ b/packages/router/src/hemlockhall_router/request/attempt.py
@@ -46,14 +46,14 @@
         self.path = path
         self.head: ResponseHead | None = None
         self.running = Running(
-            self.ids, patience.quiet_first_s, movable=work.route.repeatable
+            self.ids, patience.quiet_first_s, movable=work.route.retryable
         )
         self._occupied = Occupied(tools.directory, self.ids, self.running, work.size)
 
     @property
     def ids(self) -> list[str]:
         """The endpoints of its path."""
-        return [part.endpoint.id for part in self.path.parts]
+        return [part.endpoint.id for part in self.path.stages]
 
     async def begin(self, resume_after: bytes | None) -> None:
         """Send the request, and return when its answer has begun.
@@ -69,7 +69,11 @@
         self._occupied.enter()
         self._send_activations()
         text = outgoing(
-            self._work, self._tools.dialect, self.path.first, self.path, resume_after
+            self._work,
+            self._tools.dialect,
+            self.path.first_endpoint,
+            self.path,
+            resume_after,
         )
         self._began = time.monotonic()
         with self._faults():
@@ -116,7 +120,7 @@
         """Note that an event came that the caller did not have."""
         if not self.running.began:
             took = time.monotonic() - self._began
-            self._tools.directory.succeeded(self.path.first.id, took)
+            self._tools.directory.succeeded(self.path.first_endpoint.id, took)
             self._tools.metrics.first_event.record(took)
             self._occupied.read()
         self._occupied.heard()
@@ -127,7 +131,7 @@
         assert self._conn is not None
         assert self.head is not None
         conn, self._conn = self._conn, None
-        await self._tools.pool.give(self.path.first.address, conn, self.head)
+        await self._tools.pool.give(self.path.first_endpoint.address, conn, self.head)
 
     async def close(self) -> None:
         """End the run, wherever it is."""
@@ -136,7 +140,7 @@
             await self._conn.close()
 
     async def _connect(self) -> None:
-        first = self.path.first
+        first = self.path.first_endpoint
         deadline = min(self._work.deadline, time.monotonic() + CONNECT_S)
         try:
             self._conn = await self._tools.pool.connect(first.address, deadline)
@@ -149,7 +153,7 @@
     def _send_activations(self) -> None:
         work = self._work
         if work.service.model is not None:
-            self._tools.pipes.send(self.path, work.service.model, work.size)
+            self._tools.pipes.record_transfer(self.path, work.service.model, work.size)
 
     async def _own_head(self) -> ResponseHead:
         assert self._conn is not None
@@ -197,7 +201,7 @@
     def _blame(self, head: ResponseHead) -> str:
         """Note which endpoint of the path refused, and return its id."""
         at_fault = id_text(head.header(self._tools.dialect.headers.at_fault) or b"")
-        for part in self.path.parts:
+        for part in self.path.stages:
             host, port = part.endpoint.address
             if at_fault != f"{host}:{port}":
                 continue
@@ -209,7 +213,7 @@
                 self._tools.directory.failed(key, f"status {head.status}")
             self._tools.prober.check([key])
             return key
-        return self.path.first.id
+        return self.path.first_endpoint.id
 
 
 __all__ = [
--- a/packages/router/src/hemlockhall_router/request/patience.py
+++ b/packages/router/src/hemlockhall_router/request/patience.py
@@ -30,8 +30,8 @@
     def __init__(self, work: Work) -> None:
         self._work = work
         self._growth = 1.0
-        self.objective_s = work.route.objective_s or UNSTATED_S
-        self.pause_s = work.route.pause_s or UNSTATED_S
+        self.objective_s = work.route.latency_objective_s or UNSTATED_S
+        self.pause_s = work.route.max_event_gap_s or UNSTATED_S
 
     def grow(self) -> None:
         """Wait longer from now on: a silence was no failure, or met two paths."""
@@ -40,14 +40,14 @@
     @property
     def quiet_first_s(self) -> float:
         """Silence before the first event that puts a path in doubt."""
-        if not self._work.route.repeatable:
+        if not self._work.route.retryable:
             return float("inf")
         return self.objective_s * QUIET_FIRST_PART
 
     @property
     def quiet_pause_s(self) -> float:
         """Silence between two events that puts a path in doubt."""
-        if not self._work.route.repeatable:
+        if not self._work.route.retryable:
             return float("inf")
         return self.pause_s * QUIET_PAUSE_PART
 
@@ -60,7 +60,7 @@
         return self._deadline(self.pause_s * PAUSE_PARTS)
 
     def _deadline(self, wait_s: float) -> float:
-        if not self._work.route.repeatable:
+        if not self._work.route.retryable:
             return self._work.deadline
         return min(self._work.deadline, time.monotonic() + wait_s * self._growth)
 
--- a/packages/router/src/hemlockhall_router/request/plain.py
+++ b/packages/router/src/hemlockhall_router/request/plain.py
@@ -90,14 +90,14 @@
             self._refusals += 1
             return self._refusals < MAX_REFUSALS
         self._ran = True
-        return work.route.repeatable and len(self._tried) < work.route.max_endpoints
+        return work.route.retryable and len(self._tried) < work.route.max_attempts
 
     async def _try(self, held: Held) -> Response:
         work, tools = self._work, self._tools
         endpoint = held.endpoint
         connect_deadline = min(work.deadline, time.monotonic() + CONNECT_S)
         try:
-            if work.route.repeatable:
+            if work.route.retryable:
                 conn = await tools.pool.connect(endpoint.address, connect_deadline)
             else:
                 # A kept connection may be closed by the endpoint just as the
@@ -140,7 +140,7 @@
 
     def _patience(self, held: Held) -> float:
         work = self._work
-        if not work.route.repeatable or work.route.max_endpoints <= self._sent + 1:
+        if not work.route.retryable or work.route.max_attempts <= self._sent + 1:
             return work.deadline
         wait = max(PATIENCE_FLOOR_S, PATIENCE_FACTOR * held.latency_s)
         return min(work.deadline, time.monotonic() + wait)
@@ -160,7 +160,7 @@
             raise TryFailedError(Retry.FAILED, "no signature", ran=True)
         self._tools.directory.succeeded(key, took_s)
         self._tools.metrics.answer_time.record(took_s)
-        if status >= 500 and self._work.route.repeatable:
+        if status >= 500 and self._work.route.retryable:
             cause = f"status {status}"
             raise TryFailedError(Retry.FAILED, cause, ran=True, response=response)
         return response
--- a/packages/router/src/hemlockhall_router/request/running.py
+++ b/packages/router/src/hemlockhall_router/request/running.py
@@ -7,7 +7,7 @@
 
 import anyio
 
-from hemlockhall_router.policy.silence import EventInterval
+from hemlockhall_router.policy.silence import EventIntervalEstimator
 from hemlockhall_router.request.reason import Retry
 
 if TYPE_CHECKING:
@@ -54,7 +54,7 @@
         self.doubted = False
         self.began = False
         self.asked_at = float("-inf")
-        self._interval = EventInterval()
+        self._interval = EventIntervalEstimator()
         self._moved: MovedError | None = None
         self._scope: anyio.CancelScope | None = None
 
@@ -64,7 +64,7 @@
         if self.began:
             self._interval.add(now - self.heard_at)
         self.heard_at = now
-        self.quiet_s = self._interval.silence_s(quiet_s)
+        self.quiet_s = self._interval.silence_limit_s(quiet_s)
         self.doubted = False
         self.began = True
 
--- a/packages/router/src/hemlockhall_router/request/stream.py
+++ b/packages/router/src/hemlockhall_router/request/stream.py
@@ -147,7 +147,7 @@
         if moved.reason is Retry.SILENT:
             avoid = avoid.union(old.ids)
         path = self._tools.chooser.path(self._work.service, avoid, size=self._work.size)
-        if path is None or path.first.id == old.path.first.id:
+        if path is None or path.first_endpoint.id == old.path.first_endpoint.id:
             self._leave_silent(moved)
             return
         if not self._may_leave(old.path) or not self._allow():
@@ -199,8 +199,8 @@
 
     def _may_leave(self, path: Path) -> bool:
         """Return whether the route allows one more endpoint than this path's."""
-        used = {*self._ran_at, path.first.id}
-        return len(used) < self._work.route.max_endpoints
+        used = {*self._ran_at, path.first_endpoint.id}
+        return len(used) < self._work.route.max_attempts
 
     def _log_broken(self, attempt: Attempt, reason: Retry, cause: str) -> None:
         logger.info(
@@ -224,7 +224,7 @@
         if again.ran:
             self._ran = True
             self._note_run(attempt)
-            return work.route.repeatable
+            return work.route.retryable
         self._rejected = True
         return True
 
@@ -281,12 +281,12 @@
         for key, endpoint in self._ran_at.items():
             if self._tools.directory.may_run(endpoint):
                 there.append(key)
-        if len(there) < self._work.route.max_endpoints:
+        if len(there) < self._work.route.max_attempts:
             return None
         return frozenset(there)
 
     def _note_run(self, attempt: Attempt) -> None:
-        first = attempt.path.first
+        first = attempt.path.first_endpoint
         self._ran_at[first.id] = first
 
     def _note_end(self, path: Path) -> None:
@@ -301,7 +301,7 @@
             took_ms=round(times.took_s * 1000),
             tokens=self._work.size,
             tries=self._sent + 1,
-            path=[part.endpoint.id for part in path.parts],
+            path=[part.endpoint.id for part in path.stages],
         )
 
     def _fresh(self, events: list[Event]) -> list[Event]:
@@ -321,7 +321,7 @@
         late = work.left_s <= 0
         if reply.started:
             refusal = Refusal.TIMEOUT if late else Refusal.UNCERTAIN
-        elif self._ran and not work.route.repeatable:
+        elif self._ran and not work.route.retryable:
             refusal = Refusal.TIMEOUT if late else Refusal.UNCERTAIN
         elif self._unaffordable:
             refusal = Refusal.RETRY_BUDGET
--- a/packages/router/src/hemlockhall_router/request/work.py
+++ b/packages/router/src/hemlockhall_router/request/work.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from hemlockhall_router.connection.message import Headers, RequestHead
     from hemlockhall_router.connection.pool import Pool
-    from hemlockhall_router.policy.pipe import Pipes
+    from hemlockhall_router.policy.data_centre_link import DataCentreLinks
     from hemlockhall_router.process.budget import Budget
     from hemlockhall_router.process.chooser import Chooser
     from hemlockhall_router.process.dialect import Dialect, Tokens
@@ -38,7 +38,7 @@
     budget: Budget
     metrics: Metrics
     prober: Prober
-    pipes: Pipes
+    pipes: DataCentreLinks
 
 
 @dataclass(slots=True)
@@ -60,7 +60,11 @@
         if self.tokens is not None:
             return self.tokens.prompt + self.tokens.answer
         model = self.service.model
-        return round(model.usual_prompt + model.usual_answer) if model else 0
+        return (
+            round(model.typical_prompt_tokens + model.typical_output_tokens)
+            if model
+            else 0
+        )
 
     @property
     def left_s(self) -> float:
--- a/packages/router/src/hemlockhall_router/version/endpoint.py
+++ b/packages/router/src/hemlockhall_router/version/endpoint.py
@@ -22,7 +22,7 @@
 class Endpoint:
     """One incarnation of an endpoint.
 
-    ``orders`` counts the orders that it began; ``born`` is the time of its
+    ``order_count`` counts the orders that it began; ``started_ms`` is the time of its
     start in Unix milliseconds, which tells a restart under the same id.
     """
 
@@ -33,9 +33,9 @@
     data_centre: str
     slots: int = 0
     draining: bool = False
-    cold_ms: float = 0.0
-    born: int = 0
-    orders: int = 0
+    warmup_left_ms: float = 0.0
+    started_ms: int = 0
+    order_count: int = 0
     accelerator: str = ""
     layers: LayerRange | None = None
 
@@ -47,27 +47,27 @@
     @property
     def incarnation(self) -> tuple[str, int]:
         """Names this run of the endpoint."""
-        return (self.id, self.born)
+        return (self.id, self.started_ms)
 
 
 @dataclass(slots=True, frozen=True)
-class Report:
+class EndpointReport:
     """What an endpoint answers when asked for its state."""
 
     busy: bool
-    orders: int
+    order_count: int
     queued: int
     active: int
     memory_used: int
     memory_total: int
     layers: LayerRange | None
-    born: int
-    pace: float = 1.0
+    started_ms: int
+    slowdown: float = 1.0
     stalled: tuple[str, ...] = ()
 
 
 __all__ = [
     "Endpoint",
     "LayerRange",
-    "Report",
+    "EndpointReport",
 ]
--- a/packages/router/src/hemlockhall_router/version/layout.py
+++ b/packages/router/src/hemlockhall_router/version/layout.py
@@ -16,7 +16,7 @@
 from hemlockhall_router.version.coverage import Coverage, fewest_parts
 from hemlockhall_router.version.endpoint import LayerRange
 from hemlockhall_router.version.member import FILL, FULL, Member
-from hemlockhall_router.version.path import MAX_PARTS
+from hemlockhall_router.version.path import MAX_STAGES
 from hemlockhall_router.version.repair import (
     fill_by_growth,
     fill_by_neighbours,
@@ -33,7 +33,7 @@
     from collections.abc import Iterable
 
     from hemlockhall_router.version.endpoint import Endpoint
-    from hemlockhall_router.version.replica import Division, Replica
+    from hemlockhall_router.version.replica import Replica, ReplicaDivision
     from hemlockhall_router.version.routing import Model
 
 # What the improvements of a group follow from.
@@ -46,13 +46,13 @@
 GROUP_ROOM = 1.2
 
 
-def plan(
+def plan_layout(
     model: Model,
     endpoints: Iterable[Endpoint],
     held: dict[str, LayerRange | None],
     serving: dict[str, LayerRange | None] | None = None,
     fixed: frozenset[str] = frozenset(),
-    division: Division | None = None,
+    division: ReplicaDivision | None = None,
     settled: set[GroupState] | None = None,
 ) -> dict[str, LayerRange]:
     """Return the layers that endpoints should be ordered to hold.
@@ -72,7 +72,7 @@
         By endpoint id, what it holds without the orders under way.
     fixed : frozenset of str
         Ids of the endpoints that take no other order now.
-    division : Division, optional
+    division : ReplicaDivision, optional
         How data centres are divided into replicas; not at all if not given.
     settled : set of GroupState, optional
         States of groups that an earlier plan found nothing to improve in; brought up
@@ -125,11 +125,11 @@
     return {key: merged[key] for _, _, key in sorted(ranked)}
 
 
-def whole(
+def is_complete(
     model: Model,
     endpoints: Iterable[Endpoint],
     serving: dict[str, LayerRange | None],
-    division: Division | None = None,
+    division: ReplicaDivision | None = None,
 ) -> bool:
     """Return whether each group serves all layers now."""
     members = _members(model, endpoints, serving, serving, frozenset())
@@ -139,11 +139,11 @@
     return True
 
 
-def too_long(
+def endpoints_beyond_max_stages(
     model: Model,
     endpoints: Iterable[Endpoint],
     held: dict[str, LayerRange | None],
-    division: Division | None = None,
+    division: ReplicaDivision | None = None,
 ) -> frozenset[str]:
     """Return the ids of the endpoints in groups whose paths engines would refuse."""
     found: set[str] = set()
@@ -151,7 +151,7 @@
     for group in groups(model, members, division):
         ranges = [member.held for member in group if member.held is not None]
         parts = fewest_parts(model, ranges)
-        if parts is not None and parts > MAX_PARTS:
+        if parts is not None and parts > MAX_STAGES:
             found.update(member.endpoint.id for member in group)
     return frozenset(found)
 
@@ -191,7 +191,7 @@
 
 
 def groups(
-    model: Model, members: list[Member], division: Division | None = None
+    model: Model, members: list[Member], division: ReplicaDivision | None = None
 ) -> list[list[Member]]:
     """Split members into groups that each hold a copy.
 
@@ -214,7 +214,9 @@
     return alone
 
 
-def _replicas(group: list[Member], division: Division | None) -> list[list[Member]]:
+def _replicas(
+    group: list[Member], division: ReplicaDivision | None
+) -> list[list[Member]]:
     if division is None:
         return [group]
     parts: dict[Replica, list[Member]] = {}
@@ -327,9 +329,9 @@
 __all__ = [
     "groups",
     "lay_out",
-    "plan",
+    "plan_layout",
     "repair_group",
     "share_out",
-    "too_long",
-    "whole",
+    "endpoints_beyond_max_stages",
+    "is_complete",
 ]
--- a/packages/router/src/hemlockhall_router/version/path.py
+++ b/packages/router/src/hemlockhall_router/version/path.py
@@ -15,7 +15,7 @@
     from hemlockhall_router.version.routing import Model
 
 # Parts a path may have; engines refuse longer ones.
-MAX_PARTS = 32
+MAX_STAGES = 32
 # Milliseconds a hop adds to each token inside a data centre: the delay of the
 # network (0.2) and on average half a pass of waiting at the next engine.
 HOP_MS = 0.8
@@ -29,17 +29,17 @@
     """What using an endpoint costs beside its usual time.
 
     ``factor`` is on its time for a token, at least 1; ``layer_ms`` is added for
-    each layer that it runs, ``pass_ms`` once, ``start_ms`` where it is the first.
+    each layer that it runs, ``stage_ms`` once, ``start_ms`` where it is the first.
     """
 
     factor: float = 1.0
     layer_ms: float = 0.0
-    pass_ms: float = 0.0
+    stage_ms: float = 0.0
     start_ms: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
-class Part:
+class Stage:
     """The layers that one endpoint runs for a request."""
 
     endpoint: Endpoint
@@ -50,17 +50,17 @@
 class Path:
     """Parts in the order of their layers; ``cost_ms`` estimates a token."""
 
-    parts: tuple[Part, ...]
+    stages: tuple[Stage, ...]
     cost_ms: float
 
     @property
-    def first(self) -> Endpoint:
+    def first_endpoint(self) -> Endpoint:
         """The endpoint that receives the request."""
-        return self.parts[0].endpoint
+        return self.stages[0].endpoint
 
     def uses(self, endpoint_id: str) -> bool:
         """Return whether an endpoint is on the path."""
-        return any(part.endpoint.id == endpoint_id for part in self.parts)
+        return any(part.endpoint.id == endpoint_id for part in self.stages)
 
 
 @dataclass(slots=True)
@@ -77,7 +77,7 @@
     home: str,
     cost_of: Callable[[Endpoint], EndpointCost],
     far_ms: Callable[[str, str], float],
-    starts_at: frozenset[str] | None = None,
+    first_endpoint_ids: frozenset[str] | None = None,
 ) -> Path | None:
     """Return the cheapest path that starts in data centre ``home``.
 
@@ -94,10 +94,10 @@
     far_ms : callable
         Returns the milliseconds that a hop from one data centre to another
         costs more than one inside it, for each token.
-    starts_at : frozenset of str, optional
+    first_endpoint_ids : frozenset of str, optional
         Ids of the endpoints that may be the first; all if not given.
     """
-    stops = _stops(model, endpoints, cost_of, starts_at)
+    stops = _stops(model, endpoints, cost_of, first_endpoint_ids)
     # The cheapest step that ends at a cut, for each data centre it ends in.
     best: dict[int, dict[str, _Step]] = {cut: {} for cut in stops.order}
     for cut in stops.order[:-1]:
@@ -109,7 +109,7 @@
             if place not in entries:
                 entries[place] = _cheapest(best[cut], place, home, far_ms)
             before, reach = entries[place]
-            reach += stage.cost.pass_ms
+            reach += stage.cost.stage_ms
             if cut == 0:
                 reach += stage.cost.start_ms
             for end in stage.exits:
@@ -147,7 +147,7 @@
     model: Model,
     endpoints: Iterable[Endpoint],
     cost_of: Callable[[Endpoint], EndpointCost],
-    starts_at: frozenset[str] | None,
+    first_endpoint_ids: frozenset[str] | None,
 ) -> _Stops:
     """Return where a path may change endpoints.
 
@@ -177,7 +177,11 @@
             if cut >= end:
                 break
             entered[cut].append(stage)
-        if first > 0 or starts_at is None or stage.endpoint.id in starts_at:
+        if (
+            first > 0
+            or first_endpoint_ids is None
+            or stage.endpoint.id in first_endpoint_ids
+        ):
             entered[first].append(stage)
     return _Stops(order, entered)
 
@@ -211,27 +215,27 @@
 
 def _trace(step: _Step, layers: int) -> Path | None:
     cost = step.cost
-    parts: list[Part] = []
+    parts: list[Stage] = []
     end = layers
     cursor: _Step | None = step
     while cursor is not None:
-        parts.append(Part(cursor.endpoint, LayerRange(cursor.start, end)))
+        parts.append(Stage(cursor.endpoint, LayerRange(cursor.start, end)))
         end = cursor.start
         cursor = cursor.before
     parts.reverse()
     merged = _merge(parts)
-    if len(merged) > MAX_PARTS:
+    if len(merged) > MAX_STAGES:
         return None
     return Path(tuple(merged), cost)
 
 
-def _merge(parts: list[Part]) -> list[Part]:
+def _merge(parts: list[Stage]) -> list[Stage]:
     """Give an endpoint that stands twice all layers in between.
 
     An engine refuses a path on which it stands twice. It holds one range
     without gaps, so it can run what lies between its two parts itself.
     """
-    merged: list[Part] = []
+    merged: list[Stage] = []
     for part in parts:
         at = None
         for index, earlier in enumerate(merged):
@@ -243,13 +247,13 @@
             continue
         first = merged[at].layers.first
         del merged[at:]
-        merged.append(Part(part.endpoint, LayerRange(first, part.layers.end)))
+        merged.append(Stage(part.endpoint, LayerRange(first, part.layers.end)))
     return merged
 
 
 __all__ = [
-    "MAX_PARTS",
-    "Part",
+    "MAX_STAGES",
+    "Stage",
     "Path",
     "EndpointCost",
     "find_path",
--- a/packages/router/src/hemlockhall_router/version/replica.py
+++ b/packages/router/src/hemlockhall_router/version/replica.py
@@ -44,7 +44,7 @@
 
 
 @dataclass(slots=True)
-class Division:
+class ReplicaDivision:
     """How often each data centre is halved.
 
     An endpoint's replica follows from a hash of its id. Dividing once more splits
@@ -85,6 +85,6 @@
 
 
 __all__ = [
-    "Division",
+    "ReplicaDivision",
     "Replica",
 ]
--- a/packages/router/src/hemlockhall_router/version/routing.py
+++ b/packages/router/src/hemlockhall_router/version/routing.py
@@ -12,11 +12,11 @@
     from hemlockhall_router.connection.message import RequestHead
 
 
-class Kind(Enum):
+class RouteKind(Enum):
     """What may be repeated, which follows from the route alone."""
 
     IDEMPOTENT = "idempotent"
-    ONCE = "once"
+    NON_IDEMPOTENT = "once"
     STREAM = "stream"
 
 
@@ -35,22 +35,22 @@
     name: str
     host: bytes
     prefix: bytes
-    kind: Kind
+    kind: RouteKind
     timeout_s: float
-    objective_s: float
+    latency_objective_s: float
     targets: tuple[Target, ...]
-    max_endpoints: int = 1
+    max_attempts: int = 1
     priority: int = 0
     public: bool = False
     resumable: bool = False
-    pause_s: float = 0.0
+    max_event_gap_s: float = 0.0
 
     @property
-    def repeatable(self) -> bool:
+    def retryable(self) -> bool:
         """Whether a request may run more than once."""
-        if self.kind is Kind.IDEMPOTENT:
+        if self.kind is RouteKind.IDEMPOTENT:
             return True
-        return self.kind is Kind.STREAM and self.resumable
+        return self.kind is RouteKind.STREAM and self.resumable
 
 
 @dataclass(slots=True, frozen=True)
@@ -59,30 +59,31 @@
 
     memory_mb: float
     step_factor: float
-    read_factor: float
+    prefill_factor: float
 
 
 @dataclass(slots=True, frozen=True)
 class Model:
     """What the engines of a service run, split by layers.
 
-    ``kv_bytes`` is the memory of one token in all layers, ``load_s`` the time
-    to load all layers, ``activation_bytes`` what one token sends over a hop.
+    ``kv_bytes_per_token`` is the memory of one token in all layers,
+    ``load_all_layers_s`` the time to load all layers, ``activation_bytes_per_token``
+    what one token sends over a hop.
     """
 
     layers: int
     layer_mb: float
-    kv_bytes: float
-    activation_bytes: float
-    load_s: float
+    kv_bytes_per_token: float
+    activation_bytes_per_token: float
+    load_all_layers_s: float
     step_ms: float
-    sequence_ms: float
-    read_per_s: float
-    pipe_mbps: float
+    step_ms_per_sequence: float
+    prefill_tokens_per_s: float
+    data_centre_link_mbps: float
     accelerators: dict[str, Accelerator] = field(default_factory=dict)
-    usual_prompt: float = 0.0
-    usual_answer: float = 0.0
-    loads_at_once: int = 1
+    typical_prompt_tokens: float = 0.0
+    typical_output_tokens: float = 0.0
+    concurrent_loads: int = 1
 
     def capacity(self, kind: str) -> int:
         """Return how many layers an accelerator holds at most."""
@@ -112,7 +113,7 @@
 
 
 @dataclass(slots=True)
-class Routing:
+class RoutingConfig:
     """A whole version of the configuration."""
 
     version: int
@@ -120,7 +121,7 @@
     services: dict[str, Service] = field(default_factory=dict)
     limits: CallerLimits = field(default_factory=CallerLimits)
     customers: dict[bytes, Customer] = field(default_factory=dict)
-    keys_wanted: bool = False
+    keys_required: bool = False
 
     def add(self, route: Route) -> None:
         """Add a route under its host and prefix."""
@@ -145,10 +146,10 @@
 __all__ = [
     "Accelerator",
     "Customer",
-    "Kind",
+    "RouteKind",
     "Model",
     "Route",
-    "Routing",
+    "RoutingConfig",
     "Service",
     "Target",
 ]
--- a/packages/router/src/hemlockhall_router/version/target.py
+++ b/packages/router/src/hemlockhall_router/version/target.py
@@ -46,7 +46,7 @@
 def fastest_first(model: Model, group: list[Member]) -> list[Member]:
     def rank(member: Member) -> tuple[float, int, str]:
         accelerator = model.accelerators.get(member.endpoint.accelerator)
-        pace = accelerator.read_factor if accelerator else 1.0
+        pace = accelerator.prefill_factor if accelerator else 1.0
         return (pace, -member.capacity, member.endpoint.id)
 
     return sorted(group, key=rank)
--- a/packages/standins/src/hemlockhall_standins/router/dialect.py
+++ b/packages/standins/src/hemlockhall_standins/router/dialect.py
@@ -16,14 +16,14 @@
     Tokens,
     dialect,
 )
-from hemlockhall_router.version.endpoint import Endpoint, LayerRange, Report
+from hemlockhall_router.version.endpoint import Endpoint, EndpointReport, LayerRange
 from hemlockhall_router.version.routing import (
     Accelerator,
     Customer,
-    Kind,
     Model,
     Route,
-    Routing,
+    RouteKind,
+    RoutingConfig,
     Service,
     Target,
 )
@@ -113,17 +113,17 @@
     return Model(
         layers=layers,
         layer_mb=1.0,
-        kv_bytes=8000.0,
-        activation_bytes=100.0,
-        load_s=0.1,
+        kv_bytes_per_token=8000.0,
+        activation_bytes_per_token=100.0,
+        load_all_layers_s=0.1,
         step_ms=1.0,
-        sequence_ms=0.01,
-        read_per_s=100_000.0,
-        pipe_mbps=1000.0,
+        step_ms_per_sequence=0.01,
+        prefill_tokens_per_s=100_000.0,
+        data_centre_link_mbps=1000.0,
         accelerators=kinds,
-        usual_prompt=50.0,
-        usual_answer=20.0,
-        loads_at_once=4,
+        typical_prompt_tokens=50.0,
+        typical_output_tokens=20.0,
+        concurrent_loads=4,
     )
 
 
@@ -151,7 +151,7 @@
         """Return the store that ``new_store`` made, or an empty one."""
         return STORES.setdefault(address, MemoryStore())
 
-    def routing(self, key: str, value: bytes) -> Routing | None:
+    def routing(self, key: str, value: bytes) -> RoutingConfig | None:
         """Decode a ``RoutingRow``."""
         try:
             row = msgspec.json.decode(value, type=RoutingRow)
@@ -160,7 +160,9 @@
         limits = CallerLimits(
             row.header_bytes, row.body_bytes, row.header_s, row.idle_s
         )
-        routing = Routing(row.version, limits=limits, keys_wanted=row.keys is not None)
+        routing = RoutingConfig(
+            row.version, limits=limits, keys_required=row.keys is not None
+        )
         for entry in row.routes:
             routing.add(_route(entry))
             split = model() if entry.kind == "stream" else None
@@ -183,8 +185,8 @@
             data_centre=row.place,
             slots=row.slots,
             draining=row.draining,
-            born=row.born,
-            orders=row.orders,
+            started_ms=row.born,
+            order_count=row.orders,
             accelerator=row.accelerator,
             layers=LayerRange(*row.layers) if row.layers else None,
         )
@@ -196,7 +198,7 @@
     def path_text(self, path: Path) -> bytes:
         """Encode a path as ids with layers."""
         parts = []
-        for part in path.parts:
+        for part in path.stages:
             parts.append(f"{part.endpoint.id}:{part.layers.first}-{part.layers.end}")
         return " ".join(parts).encode()
 
@@ -204,14 +206,14 @@
         """Return the call for an endpoint's state."""
         return Call(b"GET", b"/state", [])
 
-    def report(self, body: bytes) -> Report:
+    def report(self, body: bytes) -> EndpointReport:
         """Decode a ``ReportRow``."""
         try:
             row = msgspec.json.decode(body, type=ReportRow)
         except msgspec.DecodeError as exc:
             raise DecodeError(str(exc)) from exc
         layers = LayerRange(*row.layers) if row.layers else None
-        return Report(row.busy, row.orders, 0, 0, 0, 0, layers, row.born)
+        return EndpointReport(row.busy, row.orders, 0, 0, 0, 0, layers, row.born)
 
     def place_call(
         self, layers: LayerRange, orders: int, fence: int, *, at_once: bool
@@ -230,13 +232,13 @@
         name=entry.prefix,
         host=entry.host.encode(),
         prefix=entry.prefix.encode(),
-        kind=Kind(entry.kind),
+        kind=RouteKind(entry.kind),
         timeout_s=entry.timeout_s,
-        objective_s=entry.objective_s,
+        latency_objective_s=entry.objective_s,
         targets=(Target(entry.service, 1.0),),
-        max_endpoints=entry.tries,
+        max_attempts=entry.tries,
         resumable=entry.resumable,
-        pause_s=entry.pause_s,
+        max_event_gap_s=entry.pause_s,
     )
 
 
--- a/packages/standins/src/hemlockhall_standins/router/pool.py
+++ b/packages/standins/src/hemlockhall_standins/router/pool.py
@@ -22,17 +22,17 @@
     return Model(
         layers=80,
         layer_mb=1750.0,
-        kv_bytes=1_180_000.0,
-        activation_bytes=59_000.0,
-        load_s=14.0,
+        kv_bytes_per_token=1_180_000.0,
+        activation_bytes_per_token=59_000.0,
+        load_all_layers_s=14.0,
         step_ms=1.0,
-        sequence_ms=0.01,
-        read_per_s=164_000.0,
-        pipe_mbps=13_000.0,
+        step_ms_per_sequence=0.01,
+        prefill_tokens_per_s=164_000.0,
+        data_centre_link_mbps=13_000.0,
         accelerators=accelerators,
-        usual_prompt=775.0,
-        usual_answer=216.0,
-        loads_at_once=6,
+        typical_prompt_tokens=775.0,
+        typical_output_tokens=216.0,
+        concurrent_loads=6,
     )
 
 
--- a/tests/platform/test_dialect.py
+++ b/tests/platform/test_dialect.py
@@ -11,8 +11,8 @@
 from hemlockhall_router.connection.message import RequestHead
 from hemlockhall_router.process.dialect import DecodeError
 from hemlockhall_router.version.endpoint import Endpoint, LayerRange
-from hemlockhall_router.version.path import Part, Path
-from hemlockhall_router.version.routing import Kind
+from hemlockhall_router.version.path import Path, Stage
+from hemlockhall_router.version.routing import RouteKind
 
 DIALECT = PlatformDialect()
 CONFIGURATION = {
@@ -104,26 +104,38 @@
         head = RequestHead(b"POST", b"/a/x?y", [(b"Host", b"HALL.example:80")])
         route = routing.match(head)
         assert route is not None
-        assert (route.name, route.kind, route.resumable) == ("r-1", Kind.STREAM, True)
-        assert (route.timeout_s, route.objective_s, route.pause_s) == (20, 0.5, 0.2)
+        assert (route.name, route.kind, route.resumable) == (
+            "r-1",
+            RouteKind.STREAM,
+            True,
+        )
+        assert (route.timeout_s, route.latency_objective_s, route.max_event_gap_s) == (
+            20,
+            0.5,
+            0.2,
+        )
         assert [target.weight for target in route.targets] == [90, 10]
         head.target = b"/a/b/c"
         once = routing.match(head)
         assert once is not None
-        assert (once.kind, once.repeatable) == (Kind.ONCE, False)
+        assert (once.kind, once.retryable) == (RouteKind.NON_IDEMPOTENT, False)
         model = routing.services["pool"].model
         assert model is not None
-        assert (model.layers, model.capacity("t4"), model.load_s) == (80, 8, 14.0)
+        assert (model.layers, model.capacity("t4"), model.load_all_layers_s) == (
+            80,
+            8,
+            14.0,
+        )
         assert routing.services["desk"].model is None
         assert routing.limits.idle_s == 15
         assert routing.customers[b"k2"].name == "choir"
-        assert routing.keys_wanted
+        assert routing.keys_required
 
     def test_without_customers_no_key_is_wanted(self) -> None:
         entry = {key: CONFIGURATION[key] for key in ("version", "routes", "services")}
         routing = DIALECT.routing("config", encode(entry))
         assert routing is not None
-        assert not routing.keys_wanted
+        assert not routing.keys_required
 
     def test_other_rows_hold_none(self) -> None:
         assert DIALECT.routing("else", b"{}") is None
@@ -141,7 +153,7 @@
         assert endpoint.address == ("10.128.0.9", 8080)
         assert endpoint.layers == LayerRange(0, 4)
         assert endpoint.incarnation == ("i-1", 1767225600123)
-        assert endpoint.orders == 4
+        assert endpoint.order_count == 4
         assert not endpoint.draining
 
     @pytest.mark.parametrize(
@@ -176,7 +188,7 @@
             "stalled": [{"id": "r1", "address": "10.0.0.1:1"}],
         }
         report = DIALECT.report(encode(body))
-        assert (report.busy, report.orders, report.pace) == (True, 2, 3.0)
+        assert (report.busy, report.order_count, report.slowdown) == (True, 2, 3.0)
         assert report.layers == LayerRange(1, 2)
         assert report.stalled == ("r1",)
         with pytest.raises(DecodeError):
@@ -187,7 +199,7 @@
     def test_a_path(self) -> None:
         first = Endpoint("i-1", "pool", "10.1.64.9", 8080, "a")
         second = Endpoint("i-2", "pool", "10.2.64.3", 8081, "b")
-        parts = (Part(first, LayerRange(0, 20)), Part(second, LayerRange(20, 80)))
+        parts = (Stage(first, LayerRange(0, 20)), Stage(second, LayerRange(20, 80)))
         text = DIALECT.path_text(Path(parts, 1.0))
         assert text == b"10.1.64.9:8080=0-20,10.2.64.3:8081=20-80"
 
--- a/tests/router/test_directory.py
+++ b/tests/router/test_directory.py
@@ -21,7 +21,7 @@
 from hemlockhall_router.process.setting import BoundsSection
 from hemlockhall_router.process.store import Row
 from hemlockhall_router.process.timing import Timing
-from hemlockhall_router.version.endpoint import LayerRange, Report
+from hemlockhall_router.version.endpoint import EndpointReport, LayerRange
 from hemlockhall_standins.router.dialect import EndpointRow, StandinDialect
 
 TOTAL = 1000
@@ -63,8 +63,10 @@
         assert held.failures == 0
 
 
-def report(used: int, *, orders: int = 0, layers: LayerRange | None = None) -> Report:
-    return Report(False, orders, 0, 1, used, TOTAL, layers, 1)
+def report(
+    used: int, *, orders: int = 0, layers: LayerRange | None = None
+) -> EndpointReport:
+    return EndpointReport(False, orders, 0, 1, used, TOTAL, layers, 1)
 
 
 class TestLeavingWithoutAWord:
@@ -193,8 +195,10 @@
         self, directory: Directory
     ) -> None:
         """Guards against an old entry that takes over the layers of the new run."""
-        directory.held["p1"].endpoint = replace(directory.held["p1"].endpoint, born=3)
-        answer = replace(report(0, orders=1, layers=LayerRange(0, 4)), born=7)
+        directory.held["p1"].endpoint = replace(
+            directory.held["p1"].endpoint, started_ms=3
+        )
+        answer = replace(report(0, orders=1, layers=LayerRange(0, 4)), started_ms=7)
         directory.set_down("p1", down=True)
         directory.reported("p1", answer)
         self.restart(directory)
@@ -205,7 +209,9 @@
         self, directory: Directory
     ) -> None:
         """Guards against a delayed entry that takes the live run out of service."""
-        directory.held["p1"].endpoint = replace(directory.held["p1"].endpoint, born=9)
+        directory.held["p1"].endpoint = replace(
+            directory.held["p1"].endpoint, started_ms=9
+        )
         self.restart(directory)
         directory.set_down("p1", down=False)
         assert directory.usable("pool") == [directory.held["p1"]]
--- a/tests/router/test_layout.py
+++ b/tests/router/test_layout.py
@@ -11,7 +11,7 @@
 
 from hemlockhall_router.version.coverage import STARTS, Coverage
 from hemlockhall_router.version.endpoint import Endpoint, LayerRange
-from hemlockhall_router.version.layout import plan
+from hemlockhall_router.version.layout import plan_layout
 from hemlockhall_router.version.member import FILL, Member
 from hemlockhall_router.version.path import (
     FAR_START_MS,
@@ -30,17 +30,17 @@
 MODEL = Model(
     layers=80,
     layer_mb=1750.0,
-    kv_bytes=1_180_000.0,
-    activation_bytes=59_000.0,
-    load_s=14.0,
+    kv_bytes_per_token=1_180_000.0,
+    activation_bytes_per_token=59_000.0,
+    load_all_layers_s=14.0,
     step_ms=0.85,
-    sequence_ms=0.0076,
-    read_per_s=196_000.0,
-    pipe_mbps=13_000.0,
+    step_ms_per_sequence=0.0076,
+    prefill_tokens_per_s=196_000.0,
+    data_centre_link_mbps=13_000.0,
     accelerators=KINDS,
-    usual_prompt=772.0,
-    usual_answer=167.0,
-    loads_at_once=6,
+    typical_prompt_tokens=772.0,
+    typical_output_tokens=167.0,
+    concurrent_loads=6,
 )
 # Endpoints whose loss leaves two data centres with holes that nobody can take
 # without giving up layers that it serves.
@@ -61,7 +61,7 @@
     """Carry out orders until there are none; return how many there were."""
     count = 0
     for _ in range(40):
-        orders = plan(MODEL, found, held)
+        orders = plan_layout(MODEL, found, held)
         if not orders:
             return count
         count += len(orders)
@@ -157,7 +157,7 @@
             gone = held[f"{place}{lost:02}"]
             found = [e for e in found if e.id != f"{place}{lost:02}"]
             before = dict(held)
-            orders = plan(MODEL, found, held)
+            orders = plan_layout(MODEL, found, held)
             loaded = 0
             for key, layers in orders.items():
                 old = before[key]
@@ -177,7 +177,7 @@
         settle(found, held)
         found = [e for e in found if e.id[0] != "y" or e.id < "y06"]
         held = {e.id: held[e.id] for e in found}
-        for key, layers in plan(MODEL, found, held).items():
+        for key, layers in plan_layout(MODEL, found, held).items():
             assert key.startswith("y"), layers
 
     def test_an_endpoint_that_comes_back_empty_holds_layers_a_second_time(
@@ -215,7 +215,7 @@
             found = [e for e in found if e.id != f"{place}{lost:02}"]
             held.pop(f"{place}{lost:02}")
             before = counts(found, held, place)
-            orders = plan(MODEL, found, held)
+            orders = plan_layout(MODEL, found, held)
             for key, layers in orders.items():
                 old = held[key]
                 for layer in range(old.first, old.end):
@@ -233,7 +233,7 @@
         settle(found, held)
         held = {key: layers for key, layers in held.items() if key != "z03"}
         found = [e for e in found if e.id != "z03"]
-        orders = plan(MODEL, found, held)
+        orders = plan_layout(MODEL, found, held)
         kinds = {e.id: e.accelerator for e in found}
         assert orders
         assert {kinds[key] for key in orders} <= {"l", "t"}
@@ -250,7 +250,7 @@
         serving = {e.id: held[e.id] for e in found}
         held = dict(serving)
         for _ in range(10):
-            orders = plan(MODEL, found, held, serving)
+            orders = plan_layout(MODEL, found, held, serving)
             held.update(orders)
         away = []
         for place in PLACES:
@@ -325,7 +325,7 @@
         for lost in ("x08", "y06", "z05"):
             after = {key: layers for key, layers in held.items() if key != lost}
             left = [e for e in found if e.id != lost]
-            after.update(plan(MODEL, left, after))
+            after.update(plan_layout(MODEL, left, after))
             assert uncovered(left, after, lost[0]) == []
             assert max(filling(e, after) for e in left) <= 0.8
 
@@ -345,7 +345,7 @@
         for endpoint in found:
             held[endpoint.id] = LayerRange(0, 80)
         for _ in range(5):
-            held.update(plan(model, found, held))
+            held.update(plan_layout(model, found, held))
             assert uncovered(found, held, "x") == []
         assert max(held[e.id].size for e in found) <= FILL * 80
 
@@ -376,13 +376,13 @@
             return
         assert path is not None
         reached = 0
-        for part in path.parts:
+        for part in path.stages:
             assert part.layers.first == reached
             assert part.endpoint.layers.first <= part.layers.first
             assert part.layers.end <= part.endpoint.layers.end
             reached = part.layers.end
         assert reached == 80
-        ids = [part.endpoint.id for part in path.parts]
+        ids = [part.endpoint.id for part in path.stages]
         assert len(ids) == len(set(ids))
 
     @pytest.mark.parametrize("kinds", [PLACES, dict.fromkeys(PLACES, "alllllllltttt")])
@@ -398,7 +398,7 @@
             path = find_path(
                 MODEL, holders, place, lambda endpoint: EndpointCost(), far_ms
             )
-            places = {part.endpoint.data_centre for part in path.parts}
+            places = {part.endpoint.data_centre for part in path.stages}
             assert len(places) == 1
             if kinds is not PLACES:
                 assert places == {place}
@@ -417,7 +417,7 @@
             if layers is None or not layers.first <= cut < layers.end:
                 continue
             place = endpoint.data_centre
-            reach = HOP_MS + cost_of.pass_ms
+            reach = HOP_MS + cost_of.stage_ms
             if cut:
                 reach += min(
                     cost + (far_ms(here, place) if here != place else 0.0)
--- a/tests/router/test_load_fleet.py
+++ b/tests/router/test_load_fleet.py
@@ -9,19 +9,19 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hemlockhall_router.policy.pipe import Pipes
+from hemlockhall_router.policy.data_centre_link import DataCentreLinks
 from hemlockhall_router.process.catalog import SAMPLE
 from hemlockhall_router.process.chooser import Chooser
 from hemlockhall_router.version.coverage import Coverage, fewest_parts
 from hemlockhall_router.version.endpoint import Endpoint, LayerRange
-from hemlockhall_router.version.layout import plan, too_long
+from hemlockhall_router.version.layout import endpoints_beyond_max_stages, plan_layout
 from hemlockhall_router.version.member import FILL, Member
-from hemlockhall_router.version.path import MAX_PARTS
+from hemlockhall_router.version.path import MAX_STAGES
 from hemlockhall_router.version.replica import (
     DIVIDE_COPIES,
     JOIN_COPIES,
-    Division,
     Replica,
+    ReplicaDivision,
 )
 from hemlockhall_router.version.routing import Accelerator
 from hemlockhall_standins.router.pool import SERVICE as POOL
@@ -48,11 +48,13 @@
     return made
 
 
-def settled(found: list[Endpoint], division: Division) -> dict[str, LayerRange | None]:
+def settled(
+    found: list[Endpoint], division: ReplicaDivision
+) -> dict[str, LayerRange | None]:
     held: dict[str, LayerRange | None] = {e.id: None for e in found}
     division.update(MODEL, found)
     for _ in range(60):
-        orders = plan(MODEL, found, held, division=division)
+        orders = plan_layout(MODEL, found, held, division=division)
         if not orders:
             return held
         held.update(orders)
@@ -60,7 +62,7 @@
 
 
 def replicas(
-    found: list[Endpoint], held: dict, division: Division
+    found: list[Endpoint], held: dict, division: ReplicaDivision
 ) -> dict[Replica, list[Member]]:
     made: dict[Replica, list[Member]] = {}
     for endpoint in found:
@@ -82,7 +84,7 @@
     ) -> None:
         """Guards against paths of more parts than engines take in large fleets."""
         found = fleet(count, places, seed)
-        division = Division()
+        division = ReplicaDivision()
         held = settled(found, division)
         for endpoint in found:
             layers = held[endpoint.id]
@@ -93,13 +95,13 @@
             assert Coverage(MODEL, members).holes() == []
             parts = fewest_parts(MODEL, [m.held for m in members if m.held])
             assert parts is not None
-            assert parts <= MAX_PARTS
+            assert parts <= MAX_STAGES
 
     @pytest.mark.parametrize("count", [300, 1000])
     def test_replicas_are_of_bounded_size(self, count: int) -> None:
         """Guards against plans and choices that grow with the fleet."""
         found = fleet(count, 3)
-        division = Division()
+        division = ReplicaDivision()
         held = settled(found, division)
         sizes = [memory(m) for m in replicas(found, held, division).values()]
         assert min(sizes) >= DIVIDE_COPIES
@@ -110,7 +112,7 @@
     def test_a_lost_endpoint_changes_few_others(self, seed: int) -> None:
         """Guards against a loss that moves layers all over the fleet."""
         found = fleet(1000, 3, seed)
-        division = Division()
+        division = ReplicaDivision()
         held = settled(found, division)
         lost = random.Random(seed).choice(found)
         replica = division.replica(lost)
@@ -125,7 +127,7 @@
     def test_losses_around_the_bound_do_not_divide_anew(self) -> None:
         """Guards against replicas that are joined and divided by each loss."""
         found = fleet(400, 3)
-        division = Division()
+        division = ReplicaDivision()
         division.update(MODEL, found)
         before = dict(division.halvings)
         few = len(found) // 10
@@ -138,7 +140,7 @@
     def test_a_data_centre_that_lost_most_endpoints_is_joined(self) -> None:
         """Guards against replicas too small for a copy of their own."""
         found = fleet(1000, 1)
-        division = Division()
+        division = ReplicaDivision()
         division.update(MODEL, found)
         assert division.halvings["p0"] > 0
         left = found[:60]
@@ -151,7 +153,7 @@
     def test_memory_beside_the_layers_is_left_for_requests(self) -> None:
         """Guards against layers that fill all memory of a large fleet."""
         found = fleet(1000, 3)
-        held = settled(found, Division())
+        held = settled(found, ReplicaDivision())
         for endpoint in found:
             layers = held[endpoint.id]
             assert layers is not None
@@ -159,12 +161,12 @@
 
 
 def settled_from(
-    found: list[Endpoint], held: dict[str, LayerRange | None], division: Division
+    found: list[Endpoint], held: dict[str, LayerRange | None], division: ReplicaDivision
 ) -> dict[str, LayerRange | None]:
     held = dict(held)
     division.update(MODEL, found)
     for _ in range(60):
-        orders = plan(MODEL, found, held, division=division)
+        orders = plan_layout(MODEL, found, held, division=division)
         if not orders:
             return held
         held.update(orders)
@@ -175,9 +177,11 @@
     def test_the_first_copy_is_ordered_first(self) -> None:
         """Guards against a day that begins when the last of all copies is loaded."""
         found = fleet(1000, 3)
-        division = Division()
+        division = ReplicaDivision()
         division.update(MODEL, found)
-        orders = plan(MODEL, found, {e.id: None for e in found}, division=division)
+        orders = plan_layout(
+            MODEL, found, {e.id: None for e in found}, division=division
+        )
         places = {e.id: e for e in found}
         first: dict[str, LayerRange | None] = {}
         for key in list(orders)[: len(orders) // 4]:
@@ -195,9 +199,9 @@
         for number in range(80):
             key = f"s{number:02}"
             found.append(Endpoint(key, POOL, "h", 1, "p0", accelerator="s"))
-        held = plan(model, found, {e.id: None for e in found})
-        assert too_long(model, found, held) == {e.id for e in found}
-        assert too_long(MODEL, found, {}) == frozenset()
+        held = plan_layout(model, found, {e.id: None for e in found})
+        assert endpoints_beyond_max_stages(model, found, held) == {e.id for e in found}
+        assert endpoints_beyond_max_stages(MODEL, found, {}) == frozenset()
 
 
 class TestChoice:
@@ -206,20 +210,20 @@
         """Guards against choices whose time grows with the fleet."""
         known = directory()
         found = fleet(count, 3)
-        held = settled(found, Division())
+        held = settled(found, ReplicaDivision())
         for endpoint in found:
             known.enter(replace(endpoint, layers=held[endpoint.id]))
         sample = known.catalog.sample(POOL, MODEL, "p0")
         most = max(len(group) for group in groups_of(known))
         assert len(sample) <= SAMPLE + most
-        chooser = Chooser(known, "p0", Pipes(lambda: 1), lambda: 1)
+        chooser = Chooser(known, "p0", DataCentreLinks(lambda: 1), lambda: 1)
         assert chooser.path(service(MODEL), set(), size=900) is not None
 
     def test_a_path_is_found_though_the_sampled_replicas_are_broken(self) -> None:
         """Guards against refusals while another replica is whole."""
         known = directory()
         found = fleet(1000, 3)
-        division = Division()
+        division = ReplicaDivision()
         held = settled(found, division)
         whole = division.replica(found[0])
         for endpoint in found:
@@ -227,10 +231,10 @@
                 known.enter(replace(endpoint, layers=held[endpoint.id]))
             else:
                 known.enter(replace(endpoint, layers=LayerRange(0, 1)))
-        chooser = Chooser(known, "p1", Pipes(lambda: 1), lambda: 1)
+        chooser = Chooser(known, "p1", DataCentreLinks(lambda: 1), lambda: 1)
         path = chooser.path(service(MODEL), set(), size=900)
         assert path is not None
-        for part in path.parts[1:]:
+        for part in path.stages[1:]:
             assert division.replica(part.endpoint) == whole
 
 
--- a/tests/router/test_load_loss.py
+++ b/tests/router/test_load_loss.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from hemlockhall_router.policy.pipe import Pipes
+from hemlockhall_router.policy.data_centre_link import DataCentreLinks
 from hemlockhall_router.process.chooser import Chooser
 from hemlockhall_router.version.endpoint import LayerRange
 from hemlockhall_router.version.routing import Accelerator
@@ -41,15 +41,15 @@
     placed: Counter[str] = Counter()
     for _ in range(HOSTS):
         known = three_endpoints()
-        pipes = Pipes(lambda: hosts_known)
+        pipes = DataCentreLinks(lambda: hosts_known)
         chooser = Chooser(known, "x", pipes, lambda: hosts_known)
         for _ in range(STREAMS // HOSTS):
             path = chooser.path(SERVICE, set(), size=TOKENS)
             assert path is not None
-            held = known.held[path.first.id]
+            held = known.held[path.first_endpoint.id]
             held.unread += TOKENS
             held.tokens += TOKENS
-            placed[path.first.id] += TOKENS
+            placed[path.first_endpoint.id] += TOKENS
     return placed
 
 
--- a/tests/router/test_load_pipe.py
+++ b/tests/router/test_load_pipe.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from hemlockhall_router.policy.pipe import Pipes, transfer_s
+from hemlockhall_router.policy.data_centre_link import DataCentreLinks, transfer_s
 from hemlockhall_router.process.chooser import Chooser
 from hemlockhall_router.version.endpoint import LayerRange
 from hemlockhall_router.version.routing import Accelerator
@@ -59,7 +59,7 @@
     clock = Clock()
     choosers = []
     for _ in range(HOSTS):
-        pipes = Pipes(lambda: hosts_known, clock)
+        pipes = DataCentreLinks(lambda: hosts_known, clock)
         choosers.append(
             (Chooser(broken_copies(tokens), "x", pipes, lambda: HOSTS), pipes)
         )
@@ -69,13 +69,13 @@
         chooser, pipes = random.choice(choosers)  # noqa: S311
         path = chooser.path(SERVICE, set(), size=TOKENS)
         assert path is not None
-        pipes.send(path, MODEL, TOKENS)
+        pipes.record_transfer(path, MODEL, TOKENS)
         chosen.append((clock.now, path))
     return chosen
 
 
 def crossings(chosen: list[tuple[float, Path]]) -> int:
-    return sum(len(path.parts) > 1 for _, path in chosen)
+    return sum(len(path.stages) > 1 for _, path in chosen)
 
 
 class TestBrokenCopy:
@@ -103,13 +103,13 @@
 
     def test_a_host_alone_uses_the_pipe_again_when_it_is_free(self) -> None:
         clock = Clock()
-        pipes = Pipes(lambda: 1, clock)
+        pipes = DataCentreLinks(lambda: 1, clock)
         chooser = Chooser(broken_copies(), "x", pipes, lambda: HOSTS)
         path = chooser.path(SERVICE, set(), size=TOKENS)
-        pipes.send(path, MODEL, 100_000)
-        assert len(chooser.path(SERVICE, set(), size=TOKENS).parts) == 1
+        pipes.record_transfer(path, MODEL, 100_000)
+        assert len(chooser.path(SERVICE, set(), size=TOKENS).stages) == 1
         clock.now += transfer_s(MODEL, 100_000)
-        assert len(chooser.path(SERVICE, set(), size=TOKENS).parts) == 2
+        assert len(chooser.path(SERVICE, set(), size=TOKENS).stages) == 2
 
 
 # A pipe that one prompt takes for some 45 ms, and the hosts around it.
@@ -124,7 +124,9 @@
 def moved_at_once(seed: int) -> float:
     """Let all hosts place broken streams; return how long the pipe is taken."""
     random.seed(seed)
-    model = replace(MODEL, pipe_mbps=THIN_MBPS, activation_bytes=16_400.0)
+    model = replace(
+        MODEL, data_centre_link_mbps=THIN_MBPS, activation_bytes_per_token=16_400.0
+    )
     clock = Clock()
     taken_s = 0.0
     for _ in range(MANY_HOSTS):
@@ -134,13 +136,13 @@
         enter(known, "y", "y", "fast", LAYOUT["y"])
         # Others' prompts wait at home, as far as this host has heard.
         known.held["x2"].unread_elsewhere = 30_000
-        pipes = Pipes(lambda: MANY_HOSTS, clock)
+        pipes = DataCentreLinks(lambda: MANY_HOSTS, clock)
         chooser = Chooser(known, "x", pipes, lambda: MANY_HOSTS // 2)
         for _ in range(MOVED):
             path = chooser.path(service(model), set(), size=TOKENS)
             assert path is not None
-            pipes.send(path, model, TOKENS)
-            if len({part.endpoint.data_centre for part in path.parts}) > 1:
+            pipes.record_transfer(path, model, TOKENS)
+            if len({part.endpoint.data_centre for part in path.stages}) > 1:
                 taken_s += transfer_s(model, TOKENS)
     return taken_s
 
@@ -160,8 +162,8 @@
         known = directory()
         enter(known, "x", "x", "fast", LAYOUT["x"])
         enter(known, "y", "y", "fast", LAYOUT["y"])
-        pipes = Pipes(lambda: MANY_HOSTS, Clock())
+        pipes = DataCentreLinks(lambda: MANY_HOSTS, Clock())
         chooser = Chooser(known, "x", pipes, lambda: MANY_HOSTS // 2)
         path = chooser.path(SERVICE, set(), size=TOKENS)
         assert path is not None
-        assert len(path.parts) == 2
+        assert len(path.stages) == 2
--- a/tests/router/test_load_silence.py
+++ b/tests/router/test_load_silence.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from hemlockhall_router.policy.silence import EventInterval
+from hemlockhall_router.policy.silence import EventIntervalEstimator
 
 # Longest silence allowed of a stream, in seconds: a quarter of a pause of 250 ms.
 LONGEST_S = 0.0625
@@ -14,10 +14,10 @@
 
 def after(intervals: list[float]) -> float:
     """Return the silence that is a surprise after some intervals."""
-    interval = EventInterval()
+    interval = EventIntervalEstimator()
     for interval_s in intervals:
         interval.add(interval_s)
-    return interval.silence_s(LONGEST_S)
+    return interval.silence_limit_s(LONGEST_S)
 
 
 class TestLostEndpoint:
