--- a/packages/router/src/hemlockhall_router/policy/utilization.py
+++ b/packages/router/src/hemlockhall_router/policy/utilization.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from hemlockhall_router.process.directory import Held
+    from hemlockhall_router.process.directory import EndpointRecord
     from hemlockhall_router.version.routing import Model
 
 # Milliseconds a token that a request is charged for each unit of ``load_penalty``.
@@ -21,10 +21,10 @@
 PREFILL_WEIGHT = 0.1
 
 
-def token_capacity(held: Held, model: Model) -> float:
+def token_capacity(record: EndpointRecord, model: Model) -> float:
     """Return how many tokens of requests fit beside an endpoint's layers."""
-    layers = held.endpoint.layers
-    accelerator = model.accelerators.get(held.endpoint.accelerator)
+    layers = record.endpoint.layers
+    accelerator = model.accelerators.get(record.endpoint.accelerator)
     if layers is None or layers.size == 0 or accelerator is None:
         return 1.0
     free_mb = accelerator.memory_mb - layers.size * model.layer_mb
@@ -32,12 +32,12 @@
     return max(1.0, free_mb / token_mb) if token_mb else 1.0
 
 
-def utilization(held: Held, model: Model, size: int) -> float:
+def utilization(record: EndpointRecord, model: Model, size: int) -> float:
     """Return the part of an endpoint's memory taken with one more request.
 
     ``size`` is the request's tokens.
     """
-    return (held.token_load + size) / token_capacity(held, model)
+    return (record.token_load + size) / token_capacity(record, model)
 
 
 def load_penalty(part: float) -> float:
@@ -51,7 +51,7 @@
     return part * part / (SATURATION - part)
 
 
-def prefill_ms(held: Held, model: Model, size: int, hosts: int) -> float:
+def prefill_ms(record: EndpointRecord, model: Model, size: int, hosts: int) -> float:
     """Return the milliseconds for which one layer reads the prompts sent there.
 
     Streams of a lost endpoint go on elsewhere all at once, at all hosts, before
@@ -59,15 +59,15 @@
     centre sent what it sends, or by what the others say if that is more;
     otherwise all these prompts queue at the fastest endpoint.
     """
-    accelerator = model.accelerators.get(held.endpoint.accelerator)
+    accelerator = model.accelerators.get(record.endpoint.accelerator)
     if accelerator is None or not model.prefill_tokens_per_s:
         return 0.0
-    unread = max(held.unread * hosts, held.unread_elsewhere)
+    unread = max(record.prefill_tokens * hosts, record.remote_prefill_tokens)
     tokens = unread + size
     read_ms = (
         tokens
         * accelerator.prefill_factor
-        * held.slowdown
+        * record.slowdown
         / model.prefill_tokens_per_s
         * 1000
     )
--- a/packages/router/src/hemlockhall_router/process/addresses.py
+++ b/packages/router/src/hemlockhall_router/process/addresses.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from hemlockhall_router.process.directory import Held
+    from hemlockhall_router.process.directory import EndpointRecord
 
 
 class Addresses:
@@ -16,24 +16,24 @@
     """
 
     def __init__(self) -> None:
-        self._newest: dict[tuple[str, int], Held] = {}
+        self._newest: dict[tuple[str, int], EndpointRecord] = {}
 
-    def occupy(self, held: Held) -> Held | None:
+    def occupy(self, record: EndpointRecord) -> EndpointRecord | None:
         """Enter an endpoint; return the run at its address that has ended, if any."""
-        address = held.endpoint.address
+        address = record.endpoint.address
         other = self._newest.get(address)
-        if other is None or other is held or other.endpoint.address != address:
-            self._newest[address] = held
+        if other is None or other is record or other.endpoint.address != address:
+            self._newest[address] = record
             return None
-        if 0 < held.endpoint.started_ms < other.endpoint.started_ms:
-            return held
-        self._newest[address] = held
+        if 0 < record.endpoint.started_ms < other.endpoint.started_ms:
+            return record
+        self._newest[address] = record
         return other
 
-    def leave(self, held: Held) -> None:
+    def leave(self, record: EndpointRecord) -> None:
         """Remove an endpoint whose entry is gone."""
-        address = held.endpoint.address
-        if self._newest.get(address) is held:
+        address = record.endpoint.address
+        if self._newest.get(address) is record:
             del self._newest[address]
 
 
--- a/packages/router/src/hemlockhall_router/process/budget.py
+++ b/packages/router/src/hemlockhall_router/process/budget.py
@@ -29,7 +29,7 @@
     repeats: dict[int, int] = field(default_factory=dict)
 
 
-class Budget:
+class RetryBudget:
     """Repeats of this host, for each service.
 
     The allowance of all hosts is a part of the requests and a constant. A host's
@@ -77,11 +77,11 @@
         self._young_deadline = clock() + window_s
         self._services: dict[str, _Counts] = {}
 
-    def request(self, service: str) -> None:
+    def record_request(self, service: str) -> None:
         """Count a caller's request for a service."""
         _count(self._counts(service).requests, self._bucket())
 
-    def allow(self, service: str) -> bool:
+    def try_acquire(self, service: str) -> bool:
         """Count a repeat and return True, or return False if none is left."""
         counts = self._counts(service)
         share = self._share(service)
@@ -170,5 +170,5 @@
 
 
 __all__ = [
-    "Budget",
+    "RetryBudget",
 ]
--- a/packages/router/src/hemlockhall_router/process/chooser.py
+++ b/packages/router/src/hemlockhall_router/process/chooser.py
@@ -20,7 +20,7 @@
     from collections.abc import Callable
 
     from hemlockhall_router.policy.data_centre_link import DataCentreLinks
-    from hemlockhall_router.process.directory import Directory, Held
+    from hemlockhall_router.process.directory import Directory, EndpointRecord
     from hemlockhall_router.version.path import Path
     from hemlockhall_router.version.routing import Model, Service
 
@@ -59,28 +59,30 @@
         self._none_deadlines: dict[str, float] = {}
         self._began = time.monotonic()
 
-    def endpoint(self, service: str, tried: set[str]) -> Held | None:
+    def choose_endpoint(
+        self, service: str, excluded: set[str]
+    ) -> EndpointRecord | None:
         """Return the endpoint where a plain request waits least."""
-        best: Held | None = None
+        best: EndpointRecord | None = None
         least = float("inf")
-        for held in self._directory.usable(service):
-            if held.endpoint.id in tried:
+        for record in self._directory.usable(service):
+            if record.endpoint.id in excluded:
                 continue
-            slots = max(1, held.endpoint.slots)
-            wait = held.latency_s * (1 + held.load / slots)
-            if held.doubtful:
+            slots = max(1, record.endpoint.slots)
+            wait = record.latency_s * (1 + record.load / slots)
+            if record.entry_lapsed:
                 wait *= DOUBT_FACTOR
             wait *= random.uniform(0.9, 1.1)  # noqa: S311
             if wait < least:
-                best, least = held, wait
+                best, least = record, wait
         return best
 
-    def path(
+    def choose_path(
         self,
         service: Service,
-        tried: set[str],
+        excluded: set[str],
         first_endpoint_ids: frozenset[str] | None = None,
-        size: int = 0,
+        tokens: int = 0,
     ) -> Path | None:
         """Return the path where a generation runs fastest and has room.
 
@@ -88,11 +90,11 @@
         ----------
         service : Service
             The service; it has a path only if it has a model.
-        tried : set of str
+        excluded : set of str
             Ids of endpoints that failed this request.
         first_endpoint_ids : frozenset of str, optional
             Ids of the endpoints that may receive the request.
-        size : int
+        tokens : int
             Tokens of the request.
         """
         model = service.model
@@ -101,10 +103,10 @@
         now = time.monotonic()
         if now < self._none_deadlines.get(service.name, 0.0):
             return None
-        path = self._find(service, model, tried, size, first_endpoint_ids)
+        path = self._find(service, model, excluded, tokens, first_endpoint_ids)
         if path is not None:
             self._seen_at[service.name] = now
-        elif not tried and first_endpoint_ids is None:
+        elif not excluded and first_endpoint_ids is None:
             self._none_deadlines[service.name] = now + NONE_S
         return path
 
@@ -116,41 +118,45 @@
         self,
         service: Service,
         model: Model,
-        tried: set[str],
-        size: int,
+        excluded: set[str],
+        tokens: int,
         first_endpoint_ids: frozenset[str] | None,
     ) -> Path | None:
-        catalog = self._directory.catalog
+        catalog = self._directory.replica_index
         sample = catalog.sample(service.name, model, self._home, first_endpoint_ids)
-        path = self._search(service, model, sample, tried, size, first_endpoint_ids)
+        path = self._search(
+            service, model, sample, excluded, tokens, first_endpoint_ids
+        )
         endpoints = catalog.endpoints(service.name)
         if path is not None or len(sample) == len(endpoints):
             return path
-        return self._search(service, model, endpoints, tried, size, first_endpoint_ids)
+        return self._search(
+            service, model, endpoints, excluded, tokens, first_endpoint_ids
+        )
 
     def _search(
         self,
         service: Service,
         model: Model,
-        candidates: list[Held],
-        tried: set[str],
-        size: int,
+        candidates: list[EndpointRecord],
+        excluded: set[str],
+        tokens: int,
         first_endpoint_ids: frozenset[str] | None,
     ) -> Path | None:
         # A prompt is read later by the time that its activations take the pipe.
-        pipe_ms = FAR_MS + PREFILL_WEIGHT * 1000 * transfer_s(model, size)
-        burst_s = self._pipes.burst_s(model, size)
+        pipe_ms = FAR_MS + PREFILL_WEIGHT * 1000 * transfer_s(model, tokens)
+        burst_s = self._pipes.burst_s(model, tokens)
         costs = {}
         hosts = self._hosts()
         now = time.monotonic()
         endpoints = []
-        for held in candidates:
-            if held.endpoint.id in tried or not held.usable(now):
+        for record in candidates:
+            if record.endpoint.id in excluded or not record.usable(now):
                 continue
-            costs[held.endpoint.id] = _endpoint_cost(
-                held, model, service.slots, size, hosts
+            costs[record.endpoint.id] = _endpoint_cost(
+                record, model, service.slots, tokens, hosts
             )
-            endpoints.append(held.endpoint)
+            endpoints.append(record.endpoint)
         return find_path(
             model,
             endpoints,
@@ -166,17 +172,17 @@
 
 
 def _endpoint_cost(
-    held: Held, model: Model, slots: int, size: int, hosts: int
+    record: EndpointRecord, model: Model, slots: int, size: int, hosts: int
 ) -> EndpointCost:
     """Return what one more request at an endpoint costs."""
-    factor = held.slowdown * random.uniform(1 - SPREAD, 1 + SPREAD)  # noqa: S311
-    if held.doubtful:
+    factor = record.slowdown * random.uniform(1 - SPREAD, 1 + SPREAD)  # noqa: S311
+    if record.entry_lapsed:
         factor *= DOUBT_FACTOR
-    memory_ms = PENALTY_MS * load_penalty(utilization(held, model, size))
+    memory_ms = PENALTY_MS * load_penalty(utilization(record, model, size))
     start_ms = 0.0
     if slots:
-        start_ms = PENALTY_MS * load_penalty((held.load + 1) / slots)
-    layer_ms = PREFILL_WEIGHT * prefill_ms(held, model, size, hosts)
+        start_ms = PENALTY_MS * load_penalty((record.load + 1) / slots)
+    layer_ms = PREFILL_WEIGHT * prefill_ms(record, model, size, hosts)
     return EndpointCost(
         factor, layer_ms * factor, memory_ms * factor, start_ms * factor
     )
--- a/packages/router/src/hemlockhall_router/process/directory.py
+++ b/packages/router/src/hemlockhall_router/process/directory.py
@@ -12,7 +12,7 @@
 from hemlockhall_router.membership.message import Fact, Load, endpoint_key
 from hemlockhall_router.membership.tally import UNHEARD_MS
 from hemlockhall_router.process.addresses import Addresses
-from hemlockhall_router.process.catalog import Catalog
+from hemlockhall_router.process.replica_index import ReplicaIndex
 from hemlockhall_router.version.endpoint import LayerRange
 
 if TYPE_CHECKING:
@@ -58,44 +58,44 @@
 
 
 @dataclass(slots=True)
-class Held:
+class EndpointRecord:
     """An endpoint, and what this host has seen of it.
 
-    ``tokens`` are those of its requests, ``unread`` those of the requests without
-    an event so far, whose prompts it still reads; ``elsewhere``,
-    ``tokens_elsewhere`` and ``unread_elsewhere`` are the same of other hosts there.
+    ``tokens`` are those of its requests, ``prefill_tokens`` those of the requests
+    without an event so far, whose prompts it still reads; ``remote_in_flight``,
+    ``remote_tokens`` and ``remote_prefill_tokens`` are the same of other hosts there.
     ``ahead`` tells that its layers are newer than its entry in the store,
     ``replaced`` that another run has its address by now.
-    An event came through it at ``heard_at``, here or at another host, and here at
-    ``heard_here_at``.
+    An event came through it at ``last_event_at``, here or at another host, and here at
+    ``last_local_event_at``.
     """
 
     endpoint: Endpoint
     in_flight: int = 0
     tokens: int = 0
-    unread: int = 0
-    elsewhere: int = 0
-    tokens_elsewhere: int = 0
-    unread_elsewhere: int = 0
+    prefill_tokens: int = 0
+    remote_in_flight: int = 0
+    remote_tokens: int = 0
+    remote_prefill_tokens: int = 0
     failures: int = 0
-    avoid_deadline: float = 0.0
-    vanished_deadline: float | None = None
+    backoff_deadline: float = 0.0
+    entry_grace_deadline: float | None = None
     latency_s: float = UNKNOWN_S
     down: bool = False
     down_at: float = 0.0
     checked_at: float = 0.0
     slowdown: float = 1.0
-    leave_deadline: float | None = None
+    next_move_deadline: float | None = None
     key: int = 0
     refused_at: float = float("-inf")
-    shut_deadline: float = 0.0
-    shut_here: bool = False
+    presumed_draining_deadline: float = 0.0
+    presumed_draining_here: bool = False
     changed_at: float = field(default_factory=time.monotonic)
     ahead: bool = False
     replaced: bool = False
-    heard_at: float = 0.0
-    heard_here_at: float = 0.0
-    running: set[Running] = field(default_factory=set)
+    last_event_at: float = 0.0
+    last_local_event_at: float = 0.0
+    active_streams: set[Running] = field(default_factory=set)
 
     @property
     def suspect(self) -> bool:
@@ -105,40 +105,40 @@
         return self.down or self.slowdown > 1.0 + PACE_STEP
 
     @property
-    def doubtful(self) -> bool:
+    def entry_lapsed(self) -> bool:
         """Whether its entry lapsed, and it is not known yet whether it left."""
-        return self.vanished_deadline is not None
+        return self.entry_grace_deadline is not None
 
     @property
     def load(self) -> int:
         """Requests of all hosts there, as far as is known."""
-        return self.in_flight + self.elsewhere
+        return self.in_flight + self.remote_in_flight
 
     @property
     def token_load(self) -> int:
         """Tokens of the requests of all hosts there, as far as is known."""
-        return self.tokens + self.tokens_elsewhere
+        return self.tokens + self.remote_tokens
 
     def renew(self) -> None:
         """Forget what was seen of an earlier run."""
         self.failures = 0
-        self.avoid_deadline = 0.0
+        self.backoff_deadline = 0.0
         self.down = False
         self.slowdown = 1.0
-        self.shut_deadline = 0.0
+        self.presumed_draining_deadline = 0.0
         self.replaced = False
 
-    def shut(self, now: float) -> bool:
+    def presumed_draining(self, now: float) -> bool:
         """Return whether it seems to leave without a word in the store."""
-        return now < self.shut_deadline
+        return now < self.presumed_draining_deadline
 
     def usable(self, now: float) -> bool:
         """Return whether a new request may go there."""
         if self.endpoint.draining or self.replaced:
             return False
-        if self.down or self.shut(now):
+        if self.down or self.presumed_draining(now):
             return False
-        return now >= self.avoid_deadline
+        return now >= self.backoff_deadline
 
 
 class Directory:
@@ -166,16 +166,16 @@
         self._decode = decode
         self._outage = outage
         self._timing = timing
-        self.held: dict[str, Held] = {}
-        self.running: set[Running] = set()
+        self.records: dict[str, EndpointRecord] = {}
+        self.active_streams: set[Running] = set()
         self.version = 0
         self.generation = 0
-        self.catalog = Catalog(self)
-        self._departed: list[Held] = []
+        self.replica_index = ReplicaIndex(self)
+        self._departed: list[EndpointRecord] = []
         self._addresses = Addresses()
         self._left: dict[tuple[str, int], float] = {}
 
-    def take(self, rows: list[Row]) -> None:
+    def apply_rows(self, rows: list[Row]) -> None:
         """Act on changed rows of the endpoint table."""
         for row in rows:
             endpoint = None
@@ -187,17 +187,17 @@
                 self._put(endpoint)
         self._bump()
 
-    def enter(self, endpoint: Endpoint) -> Held:
+    def add(self, endpoint: Endpoint) -> EndpointRecord:
         """Enter a new endpoint, and return its record."""
-        held = Held(endpoint, key=endpoint_key(endpoint.id))
-        self.held[endpoint.id] = held
+        record = EndpointRecord(endpoint, key=endpoint_key(endpoint.id))
+        self.records[endpoint.id] = record
         self.generation += 1
-        return held
+        return record
 
     def _put(self, endpoint: Endpoint) -> None:
-        held = self.held.get(endpoint.id)
-        if held is None:
-            self._occupy(self.enter(endpoint))
+        record = self.records.get(endpoint.id)
+        if record is None:
+            self._occupy(self.add(endpoint))
             logger.info(
                 "endpoint appeared",
                 endpoint=endpoint.id,
@@ -207,12 +207,12 @@
                 draining=endpoint.draining,
             )
             return
-        old = held.endpoint
-        held.vanished_deadline = None
+        old = record.endpoint
+        record.entry_grace_deadline = None
         renewed = old.incarnation != endpoint.incarnation
         renewed = renewed or old.address != endpoint.address
-        if endpoint.draining and held.leave_deadline is None:
-            held.leave_deadline = time.monotonic() + self._timing.move_s
+        if endpoint.draining and record.next_move_deadline is None:
+            record.next_move_deadline = time.monotonic() + self._timing.move_s
         if old.draining != endpoint.draining or old.layers != endpoint.layers:
             logger.info(
                 "endpoint changed",
@@ -221,52 +221,52 @@
                 draining=endpoint.draining,
             )
         if renewed:
-            self._addresses.leave(held)
-            held.renew()
+            self._addresses.leave(record)
+            record.renew()
             self.generation += 1
-        held.endpoint = self._newest(held, endpoint)
+        record.endpoint = self._newest(record, endpoint)
         if renewed:
-            self._occupy(held)
-        if renewed or held.endpoint.layers != old.layers:
-            held.changed_at = time.monotonic()
+            self._occupy(record)
+        if renewed or record.endpoint.layers != old.layers:
+            record.changed_at = time.monotonic()
 
-    def _occupy(self, held: Held) -> None:
+    def _occupy(self, record: EndpointRecord) -> None:
         """Take the address of an endpoint from a run there that has ended.
 
         The new run answers for the old one there, which would seem to be back.
         """
-        ended = self._addresses.occupy(held)
+        ended = self._addresses.occupy(record)
         if ended is None:
             return
         ended.replaced = True
         logger.info(
             "endpoint replaced",
             endpoint=ended.endpoint.id,
-            by=held.endpoint.id,
-            streams=len(ended.running),
+            by=record.endpoint.id,
+            streams=len(ended.active_streams),
         )
         _move(ended, "endpoint replaced")
 
-    def _newest(self, held: Held, entry: Endpoint) -> Endpoint:
+    def _newest(self, record: EndpointRecord, entry: Endpoint) -> Endpoint:
         """Return an entry of the store, with layers that are newer than it."""
-        old = held.endpoint
-        if held.ahead and old.incarnation == entry.incarnation:
+        old = record.endpoint
+        if record.ahead and old.incarnation == entry.incarnation:
             if entry.order_count < old.order_count:
                 return replace(entry, order_count=old.order_count, layers=old.layers)
-        held.ahead = False
+        record.ahead = False
         return entry
 
-    def facts(self) -> list[Fact]:
+    def layer_updates(self) -> list[Fact]:
         """Return the layers that the store does not tell yet."""
         found = []
-        for held in self.held.values():
-            endpoint = held.endpoint
-            if not held.ahead or endpoint.layers is None:
+        for record in self.records.values():
+            endpoint = record.endpoint
+            if not record.ahead or endpoint.layers is None:
                 continue
             layers = endpoint.layers
             found.append(
                 Fact(
-                    held.key,
+                    record.key,
                     endpoint.started_ms,
                     endpoint.order_count,
                     layers.first,
@@ -275,145 +275,148 @@
             )
         return found
 
-    def learn(self, facts: list[Fact]) -> None:
+    def apply_layer_updates(self, facts: list[Fact]) -> None:
         """Take layers that another host knows from the endpoints themselves.
 
         While the store is away nobody else learns what the planner's orders
         changed, and sends requests along layers that are no longer there.
         """
-        by_key = {held.key: held for held in self.held.values()}
+        by_key = {record.key: record for record in self.records.values()}
         for fact in facts:
-            held = by_key.get(fact.endpoint)
-            if held is None or held.endpoint.started_ms != fact.born:
+            record = by_key.get(fact.endpoint)
+            if record is None or record.endpoint.started_ms != fact.born:
                 continue
-            if held.endpoint.order_count >= fact.orders:
+            if record.endpoint.order_count >= fact.orders:
                 continue
             layers = LayerRange(fact.first, fact.end)
-            held.endpoint = replace(
-                held.endpoint, order_count=fact.orders, layers=layers
+            record.endpoint = replace(
+                record.endpoint, order_count=fact.orders, layers=layers
             )
-            held.ahead = True
+            record.ahead = True
             self._bump()
 
     def _missing(self, row: Row) -> None:
-        held = self.held.get(row.key)
-        if held is None:
+        record = self.records.get(row.key)
+        if record is None:
             return
         deadline = self._outage()
         # While the store was away it removes entries of endpoints that could
         # not reach it. Dropping them all at once would refuse every request
         # though nothing failed; they are back soon, or they are gone.
-        if row.deleted and time.monotonic() < deadline and not held.endpoint.draining:
-            held.vanished_deadline = deadline
+        if row.deleted and time.monotonic() < deadline and not record.endpoint.draining:
+            record.entry_grace_deadline = deadline
             return
         self._drop(row.key, "removed" if row.deleted else "entry cannot be read")
 
     def _drop(self, key: str, cause: str) -> None:
-        held = self.held.pop(key)
-        self._addresses.leave(held)
+        record = self.records.pop(key)
+        self._addresses.leave(record)
         self.generation += 1
-        if not held.down and not held.replaced:
+        if not record.down and not record.replaced:
             # Some endpoints leave without a word, and serve on without an entry.
             deadline = time.monotonic() + LEFT_S
-            self._left[held.endpoint.incarnation] = deadline
-        if held.running:
-            held.leave_deadline = (
-                held.leave_deadline or time.monotonic() + self._timing.move_s
+            self._left[record.endpoint.incarnation] = deadline
+        if record.active_streams:
+            record.next_move_deadline = (
+                record.next_move_deadline or time.monotonic() + self._timing.move_s
             )
-            self._departed.append(held)
+            self._departed.append(record)
         logger.info("endpoint gone", endpoint=key, cause=cause)
 
-    def expire(self) -> None:
+    def process_deadlines(self) -> None:
         """Drop the endpoints that did not come back in time."""
         now = time.monotonic()
-        for key in list(self.held):
-            deadline = self.held[key].vanished_deadline
+        for key in list(self.records):
+            deadline = self.records[key].entry_grace_deadline
             if deadline is None:
                 continue
             # Another host may have had the store all the while.
             if now >= deadline or self._outage() == 0.0:
                 self._drop(key, "did not come back after the outage")
                 self._bump()
-        for held in (*self.held.values(), *self._departed):
-            if held.leave_deadline is not None and now >= held.leave_deadline:
-                held.leave_deadline = now + self._timing.move_again_s
-                self._move_some(held, "endpoint leaves", now)
-        self._departed = [held for held in self._departed if held.running]
+        for record in (*self.records.values(), *self._departed):
+            if (
+                record.next_move_deadline is not None
+                and now >= record.next_move_deadline
+            ):
+                record.next_move_deadline = now + self._timing.move_again_s
+                self._move_some(record, "endpoint leaves", now)
+        self._departed = [record for record in self._departed if record.active_streams]
         for incarnation in list(self._left):
             if now >= self._left[incarnation]:
                 del self._left[incarnation]
 
-    def may_run(self, endpoint: Endpoint) -> bool:
+    def may_still_run(self, endpoint: Endpoint) -> bool:
         """Return whether this run of an endpoint has not ended, for all we know.
 
         One that does not answer may still run what it was sent: it can be cut
         off, or slow to say how it is.
         """
-        held = self.held.get(endpoint.id)
-        if held is not None and held.endpoint.incarnation == endpoint.incarnation:
-            return not held.replaced
+        record = self.records.get(endpoint.id)
+        if record is not None and record.endpoint.incarnation == endpoint.incarnation:
+            return not record.replaced
         return endpoint.incarnation in self._left
 
     def _bump(self) -> None:
         self.version += 1
 
-    def usable(self, service: str) -> list[Held]:
+    def usable(self, service: str) -> list[EndpointRecord]:
         """Return the endpoints of a service that new requests may use."""
         now = time.monotonic()
         found = []
-        for held in self.catalog.endpoints(service):
-            if held.usable(now):
-                found.append(held)
+        for record in self.replica_index.endpoints(service):
+            if record.usable(now):
+                found.append(record)
         return found
 
-    def members(self, service: str) -> list[Endpoint]:
+    def live_endpoints(self, service: str) -> list[Endpoint]:
         """Return the endpoints of a service that live and do not leave."""
         now = time.monotonic()
         found = []
-        for held in self.catalog.endpoints(service):
-            endpoint = held.endpoint
+        for record in self.replica_index.endpoints(service):
+            endpoint = record.endpoint
             if endpoint.draining:
                 continue
-            if held.down or held.replaced or held.shut(now):
+            if record.down or record.replaced or record.presumed_draining(now):
                 continue
             found.append(endpoint)
         return found
 
-    def failed(self, key: str, cause: str) -> None:
+    def record_failure(self, key: str, cause: str) -> None:
         """Leave an endpoint out for a while."""
-        held = self.held.get(key)
+        record = self.records.get(key)
         # Requests that were there together fail together; that is one failure.
-        if held is None or time.monotonic() < held.avoid_deadline:
+        if record is None or time.monotonic() < record.backoff_deadline:
             return
-        held.failures += 1
-        pause = min(AVOID_MAX_S, AVOID_S * 2 ** min(held.failures - 1, 8))
-        held.avoid_deadline = time.monotonic() + pause
+        record.failures += 1
+        pause = min(AVOID_MAX_S, AVOID_S * 2 ** min(record.failures - 1, 8))
+        record.backoff_deadline = time.monotonic() + pause
         logger.warning(
             "endpoint left out", endpoint=key, cause=cause, seconds=round(pause, 2)
         )
         self._bump()
 
-    def busy(self, key: str) -> None:
+    def record_busy(self, key: str) -> None:
         """Leave an endpoint out that has no room; it did not fail."""
-        held = self.held.get(key)
-        if held is None or time.monotonic() < held.avoid_deadline:
+        record = self.records.get(key)
+        if record is None or time.monotonic() < record.backoff_deadline:
             return
-        held.avoid_deadline = time.monotonic() + BUSY_S
+        record.backoff_deadline = time.monotonic() + BUSY_S
         logger.info(
             "endpoint without room",
             endpoint=key,
-            load=held.load,
-            tokens=held.token_load,
+            load=record.load,
+            tokens=record.token_load,
         )
         self._bump()
 
-    def refused(self, key: str) -> None:
+    def record_refusal(self, key: str) -> None:
         """Note that an endpoint refused a request, whatever for."""
-        held = self.held.get(key)
-        if held is not None:
-            held.refused_at = time.monotonic()
+        record = self.records.get(key)
+        if record is not None:
+            record.refused_at = time.monotonic()
 
-    def _judge_refusal(self, held: Held, report: EndpointReport) -> None:
+    def _judge_refusal(self, record: EndpointRecord, report: EndpointReport) -> None:
         """Tell an endpoint that leaves from one that is full.
 
         While the store is away an endpoint that leaves cannot say so. It refuses
@@ -421,132 +424,136 @@
         hosts, it fails most paths, each of which has a dozen endpoints.
         """
         now = time.monotonic()
-        if now - held.refused_at > REFUSED_S or report.busy or report.queued:
+        if now - record.refused_at > REFUSED_S or report.busy or report.queued:
             return
-        if now - held.changed_at < SETTLED_S:
+        if now - record.changed_at < SETTLED_S:
             return
         if report.memory_used >= report.memory_total * ROOMY:
             # It is full, or does not tell.
             return
-        held.refused_at = float("-inf")
-        held.shut_deadline = now + SHUT_S
-        held.shut_here = True
+        record.refused_at = float("-inf")
+        record.presumed_draining_deadline = now + SHUT_S
+        record.presumed_draining_here = True
         logger.warning(
             "endpoint seems to leave",
-            endpoint=held.endpoint.id,
+            endpoint=record.endpoint.id,
             memory_used=report.memory_used,
             memory_total=report.memory_total,
         )
         self._bump()
 
-    def shut_elsewhere(self, keys: list[int]) -> None:
+    def apply_presumed_draining(self, keys: list[int]) -> None:
         """Take which endpoints seem to leave from another host."""
         deadline = time.monotonic() + SHUT_HEARD_S
         known = set(keys)
-        for held in self.held.values():
-            if held.key in known:
-                held.shut_deadline = max(held.shut_deadline, deadline)
+        for record in self.records.values():
+            if record.key in known:
+                record.presumed_draining_deadline = max(
+                    record.presumed_draining_deadline, deadline
+                )
 
-    def shut_keys(self) -> list[int]:
+    def presumed_draining_keys(self) -> list[int]:
         """Return which endpoints this host found to leave."""
         now = time.monotonic()
         found = []
-        for held in self.held.values():
-            held.shut_here = held.shut_here and held.shut(now)
-            if held.shut_here:
-                found.append(held.key)
+        for record in self.records.values():
+            record.presumed_draining_here = (
+                record.presumed_draining_here and record.presumed_draining(now)
+            )
+            if record.presumed_draining_here:
+                found.append(record.key)
         return found
 
-    def succeeded(self, key: str, latency_s: float) -> None:
+    def record_success(self, key: str, latency_s: float) -> None:
         """Note an answer, and the time to its first byte."""
-        held = self.held.get(key)
-        if held is None:
+        record = self.records.get(key)
+        if record is None:
             return
-        held.failures = 0
-        held.latency_s += SMOOTHING * (latency_s - held.latency_s)
+        record.failures = 0
+        record.latency_s += SMOOTHING * (latency_s - record.latency_s)
 
     def set_down(self, key: str, *, down: bool) -> None:
         """Note whether an endpoint answers when asked for its state."""
-        held = self.held.get(key)
-        if held is None or held.down == down:
+        record = self.records.get(key)
+        if record is None or record.down == down:
             return
-        held.down = down
-        held.down_at = time.monotonic()
+        record.down = down
+        record.down_at = time.monotonic()
         logger.warning(
             "endpoint down" if down else "endpoint back",
             endpoint=key,
-            streams=len(held.running),
+            streams=len(record.active_streams),
         )
         self._bump()
         if down:
-            _move(held, "endpoint down")
+            _move(record, "endpoint down")
 
     def reported(self, key: str, report: EndpointReport) -> None:
         """Take what an endpoint says of itself, if it is the same run."""
-        held = self.held.get(key)
-        if held is None or held.replaced:
+        record = self.records.get(key)
+        if record is None or record.replaced:
             return
-        self._judge_refusal(held, report)
-        old = held.endpoint
-        if abs(held.slowdown - report.slowdown) > PACE_STEP:
+        self._judge_refusal(record, report)
+        old = record.endpoint
+        if abs(record.slowdown - report.slowdown) > PACE_STEP:
             logger.info("endpoint pace", endpoint=key, pace=report.slowdown)
-            held.slowdown = max(1.0, report.slowdown)
+            record.slowdown = max(1.0, report.slowdown)
             self._bump()
         if report.started_ms and old.started_ms and report.started_ms != old.started_ms:
             # A restarted endpoint holds nothing of before.
-            held.endpoint = replace(
+            record.endpoint = replace(
                 old,
                 started_ms=report.started_ms,
                 order_count=report.order_count,
                 layers=report.layers,
             )
             self._bump()
-            _move(held, "endpoint restarted")
+            _move(record, "endpoint restarted")
             return
         if report.order_count < old.order_count:
             # The report is older than what is known.
             return
         if old.layers != report.layers or old.order_count != report.order_count:
-            held.endpoint = replace(
+            record.endpoint = replace(
                 old, order_count=report.order_count, layers=report.layers
             )
             if old.layers != report.layers:
-                held.ahead = True
-                held.changed_at = time.monotonic()
+                record.ahead = True
+                record.changed_at = time.monotonic()
             self._bump()
 
     def suspect(self, key: str) -> bool:
         """Return whether an endpoint is down or slow."""
-        held = self.held.get(key)
-        return held is not None and held.suspect
+        record = self.records.get(key)
+        return record is not None and record.suspect
 
-    def set_elsewhere(self, loads: dict[int, Load]) -> None:
+    def set_remote_loads(self, loads: dict[int, Load]) -> None:
         """Take what the other hosts have at each endpoint, by its key."""
         now = time.monotonic()
-        for held in self.held.values():
-            load = loads.get(held.key, NO_LOAD)
-            held.elsewhere = load.requests
-            held.tokens_elsewhere = load.tokens
-            held.unread_elsewhere = load.unread
+        for record in self.records.values():
+            load = loads.get(record.key, NO_LOAD)
+            record.remote_in_flight = load.requests
+            record.remote_tokens = load.tokens
+            record.remote_prefill_tokens = load.unread
             heard_at = now - load.heard_ms / 1000
-            held.heard_at = max(held.heard_at, heard_at)
-            if held.down and heard_at > held.down_at + HEARD_AFTER_S:
+            record.last_event_at = max(record.last_event_at, heard_at)
+            if record.down and heard_at > record.down_at + HEARD_AFTER_S:
                 # It serves others, so the fault was on the way from here.
-                self.set_down(held.endpoint.id, down=False)
+                self.set_down(record.endpoint.id, down=False)
 
-    def _move_some(self, held: Held, cause: str, now: float) -> None:
+    def _move_some(self, record: EndpointRecord, cause: str, now: float) -> None:
         """Ask some of the streams that an endpoint still serves to go on elsewhere."""
         waiting = []
-        for running in held.running:
+        for running in record.active_streams:
             if now - running.asked_at > self._timing.ask_again_s:
                 waiting.append(running)
-        most = ceil(len(held.running) * MOVE_PART)
+        most = ceil(len(record.active_streams) * MOVE_PART)
         for running in waiting[:most]:
             running.move(cause, served=True)
 
 
-def _move(held: Held, cause: str) -> None:
-    for running in list(held.running):
+def _move(record: EndpointRecord, cause: str) -> None:
+    for running in list(record.active_streams):
         running.move(cause)
 
 
@@ -557,5 +564,5 @@
 
 __all__ = [
     "Directory",
-    "Held",
+    "EndpointRecord",
 ]
--- a/packages/router/src/hemlockhall_router/process/front.py
+++ b/packages/router/src/hemlockhall_router/process/front.py
@@ -188,7 +188,7 @@
                 again_s = LEAVE_AGAIN_S if self.leaving else START_AGAIN_S
             await reply.own(exc.status, exc.text, again_s)
             return
-        self._tools.budget.request(work.service.name)
+        self._tools.budget.record_request(work.service.name)
         if work.route.kind is RouteKind.STREAM and work.service.model is not None:
             await StreamRelay(work, self._tools, reply).run()
         else:
--- a/packages/router/src/hemlockhall_router/process/leadership.py
+++ b/packages/router/src/hemlockhall_router/process/leadership.py
@@ -47,7 +47,7 @@
         if lease.fence:
             if lease.due and now >= self._next_take:
                 self._next_take = now + RENEW_AGAIN_S
-                await lease.take()
+                await lease.acquire_or_renew()
             return lease.fence > 0
         if rival or (self._leaving and self._hosts.staying()):
             self._stand_in(False)
@@ -58,7 +58,7 @@
             return False
         if now >= self._next_take:
             self._next_take = now + ACQUIRE_S
-            await lease.take()
+            await lease.acquire_or_renew()
         if not lease.fence:
             self._stand_in(self._should_stand_in(now))
         return lease.fence > 0 or self._standing_in
--- a/packages/router/src/hemlockhall_router/process/lease.py
+++ b/packages/router/src/hemlockhall_router/process/lease.py
@@ -79,7 +79,7 @@
             logger.warning("lease lost", fence=self.fence, cause=cause)
         self.fence = 0
 
-    async def take(self) -> None:
+    async def acquire_or_renew(self) -> None:
         """Renew the lease, or acquire it if nobody holds it."""
         deadline = time.monotonic() + CALL_S
         try:
--- a/packages/router/src/hemlockhall_router/process/planner.py
+++ b/packages/router/src/hemlockhall_router/process/planner.py
@@ -128,7 +128,7 @@
         version, calm_deadline = self._calm.get(service, (-1, 0.0))
         if version == self._directory.version and now < calm_deadline:
             return
-        members = self._directory.members(service)
+        members = self._directory.live_endpoints(service)
         self._settle(service, members, now)
         held: dict[str, LayerRange | None] = {}
         for endpoint in members:
@@ -139,7 +139,7 @@
         by_id = {endpoint.id: endpoint for endpoint in members}
         serving = {endpoint.id: endpoint.layers for endpoint in members}
         fixed = frozenset(key for key in by_id if self._fixed(by_id[key], now))
-        division = self._directory.catalog.division(service, model)
+        division = self._directory.replica_index.division(service, model)
         # A copy without some layers serves nobody. Waiting until the streams on
         # an endpoint have ended leaves it so for as long as they take, which
         # under load is many seconds; those few streams go on elsewhere.
@@ -245,7 +245,7 @@
             report = await self._prober.report(endpoint)
         except (WireError, DecodeError) as exc:
             self._end(endpoint, order, f"no report: {exc}")
-            self._prober.check([endpoint.id])
+            self._prober.request_probes([endpoint.id])
             return True
         if report.layers == order.layers:
             self._directory.reported(endpoint.id, report)
@@ -277,13 +277,13 @@
     async def _follow(self, endpoint: Endpoint, order: Pending) -> None:
         while self._pending.get(endpoint.incarnation) is order:
             await anyio.sleep(REPORT_S)
-            held = self._directory.held.get(endpoint.id)
-            if held is not None and held.endpoint.layers == order.layers:
+            record = self._directory.records.get(endpoint.id)
+            if record is not None and record.endpoint.layers == order.layers:
                 return
             try:
                 report = await self._prober.report(endpoint)
             except (WireError, DecodeError):
-                self._prober.check([endpoint.id])
+                self._prober.request_probes([endpoint.id])
                 return
             if not report.busy:
                 self._directory.reported(endpoint.id, report)
--- a/packages/router/src/hemlockhall_router/process/prober.py
+++ b/packages/router/src/hemlockhall_router/process/prober.py
@@ -77,17 +77,17 @@
         self._looked_at = time.monotonic()
         self._awake_at = 0.0
 
-    def check(self, ids: list[str]) -> None:
+    def request_probes(self, ids: list[str]) -> None:
         """Ask these endpoints soon, unless they were asked just now."""
         now = time.monotonic()
         again_s = AGAIN_S * max(1.0, self._hosts() / HOSTS)
         for key in ids:
-            held = self._directory.held.get(key)
-            if held is None or held.replaced:
+            record = self._directory.records.get(key)
+            if record is None or record.replaced:
                 continue
-            if now - held.checked_at < again_s:
+            if now - record.checked_at < again_s:
                 continue
-            held.checked_at = now
+            record.checked_at = now
             self._doubted.add(key)
 
     async def run(self) -> None:
@@ -115,13 +115,13 @@
     def _find_silent(self) -> None:
         now = time.monotonic()
         self._calm = max(1.0, self._calm * CALM_FALL)
-        for running in self._directory.running:
+        for running in self._directory.active_streams:
             if not running.silent(now, self._calm, self._awake_at):
                 continue
             unheard = self._unheard(running, now)
             if unheard:
                 running.doubted = True
-                self.check(unheard)
+                self.request_probes(unheard)
 
     def _unheard(self, running: Running, now: float) -> list[str]:
         """Return the endpoints of a silent stream through which no other is heard.
@@ -132,10 +132,10 @@
         """
         found = []
         for key in running.ids:
-            held = self._directory.held.get(key)
-            if held is None:
+            record = self._directory.records.get(key)
+            if record is None:
                 continue
-            if now - max(held.heard_at, self._awake_at) > running.quiet_s:
+            if now - max(record.last_event_at, self._awake_at) > running.quiet_s:
                 found.append(key)
         return found
 
@@ -144,9 +144,9 @@
         self._doubted.clear()
         now = time.monotonic()
         again_s = SUSPECT_AGAIN_S * max(1.0, self._hosts() / HOSTS)
-        for key, held in self._directory.held.items():
-            if held.suspect and now - held.checked_at >= again_s:
-                held.checked_at = now
+        for key, record in self._directory.records.items():
+            if record.suspect and now - record.checked_at >= again_s:
+                record.checked_at = now
                 due.append(key)
         return due
 
@@ -164,14 +164,14 @@
         self._calm = 1.0 if failed or slow else min(CALM_MAX, self._calm * CALM)
 
     async def _ask(self, key: str, failed: list[str]) -> None:
-        held = self._directory.held.get(key)
-        if held is None:
+        record = self._directory.records.get(key)
+        if record is None:
             return
-        patience_s = PATIENT_S if held.down else ANSWER_S
+        patience_s = PATIENT_S if record.down else ANSWER_S
         began = time.monotonic()
         deadline = began + patience_s
         try:
-            report = await self.report(held.endpoint, patience_s)
+            report = await self.report(record.endpoint, patience_s)
         except WireError:
             late = time.monotonic() - deadline >= OWN_DELAY_S
             if not late and self._awake_at < began:
--- a/packages/router/src/hemlockhall_router/process/catalog.py
+++ b/packages/router/src/hemlockhall_router/process/replica_index.py
@@ -9,12 +9,12 @@
 from hemlockhall_router.version.replica import ReplicaDivision
 
 if TYPE_CHECKING:
-    from hemlockhall_router.process.directory import Directory, Held
+    from hemlockhall_router.process.directory import Directory, EndpointRecord
     from hemlockhall_router.version.replica import Replica
     from hemlockhall_router.version.routing import Model
 
 # Endpoints among which one request chooses its path, if there are more.
-SAMPLE = 130
+SAMPLE_SIZE = 130
 # Replicas of the own data centre in a sample: one may be broken or full.
 HOME_REPLICAS = 2
 
@@ -24,19 +24,19 @@
     """One service; ``generation`` is that of the directory it was made from."""
 
     generation: int = -1
-    endpoints: list[Held] = field(default_factory=list)
+    endpoints: list[EndpointRecord] = field(default_factory=list)
     division: ReplicaDivision = field(default_factory=ReplicaDivision)
-    replicas: dict[Replica, list[Held]] = field(default_factory=dict)
+    replicas: dict[Replica, list[EndpointRecord]] = field(default_factory=dict)
 
 
-class Catalog:
+class ReplicaIndex:
     """Lists of endpoints that follow the directory."""
 
     def __init__(self, directory: Directory) -> None:
         self._directory = directory
         self._entries: dict[str, _Entry] = {}
 
-    def endpoints(self, service: str) -> list[Held]:
+    def endpoints(self, service: str) -> list[EndpointRecord]:
         """Return all endpoints of a service."""
         return self._entry(service, None).endpoints
 
@@ -50,7 +50,7 @@
         model: Model,
         home: str,
         first_endpoint_ids: frozenset[str] | None = None,
-    ) -> list[Held]:
+    ) -> list[EndpointRecord]:
         """Return endpoints among which a request may find a path.
 
         Two replicas of the data centre ``home``, and those of others up to a bound;
@@ -58,21 +58,21 @@
         if they are few.
         """
         entry = self._entry(service, model)
-        if len(entry.endpoints) <= SAMPLE:
+        if len(entry.endpoints) <= SAMPLE_SIZE:
             return entry.endpoints
         chosen: set[Replica] = set()
         for key in first_endpoint_ids or ():
-            held = self._directory.held.get(key)
-            if held is not None:
-                chosen.add(entry.division.replica(held.endpoint))
+            record = self._directory.records.get(key)
+            if record is not None:
+                chosen.add(entry.division.replica(record.endpoint))
         near = [replica for replica in entry.replicas if replica.data_centre == home]
         far = [replica for replica in entry.replicas if replica.data_centre != home]
         random.shuffle(near)
         random.shuffle(far)
         chosen.update(near[:HOME_REPLICAS])
-        found = [held for replica in chosen for held in entry.replicas[replica]]
+        found = [record for replica in chosen for record in entry.replicas[replica]]
         for replica in far:
-            if len(found) >= SAMPLE:
+            if len(found) >= SAMPLE_SIZE:
                 break
             if replica not in chosen:
                 found += entry.replicas[replica]
@@ -84,20 +84,20 @@
             entry.generation = self._directory.generation
             entry.endpoints = []
             entry.replicas = {}
-            for held in self._directory.held.values():
-                if held.endpoint.service == service:
-                    entry.endpoints.append(held)
+            for record in self._directory.records.values():
+                if record.endpoint.service == service:
+                    entry.endpoints.append(record)
         if model is not None and not entry.replicas:
             self._divide(entry, model)
         return entry
 
     def _divide(self, entry: _Entry, model: Model) -> None:
-        entry.division.update(model, [held.endpoint for held in entry.endpoints])
-        for held in entry.endpoints:
-            replica = entry.division.replica(held.endpoint)
-            entry.replicas.setdefault(replica, []).append(held)
+        entry.division.update(model, [record.endpoint for record in entry.endpoints])
+        for record in entry.endpoints:
+            replica = entry.division.replica(record.endpoint)
+            entry.replicas.setdefault(replica, []).append(record)
 
 
 __all__ = [
-    "Catalog",
+    "ReplicaIndex",
 ]
--- a/packages/router/src/hemlockhall_router/process/router.py
+++ b/packages/router/src/hemlockhall_router/process/router.py
@@ -20,7 +20,7 @@
 from hemlockhall_router.membership.message import Contact, Load
 from hemlockhall_router.membership.tally import UNHEARD_MS
 from hemlockhall_router.policy.data_centre_link import DataCentreLinks
-from hemlockhall_router.process.budget import Budget
+from hemlockhall_router.process.budget import RetryBudget
 from hemlockhall_router.process.chooser import Chooser
 from hemlockhall_router.process.dialect import DecodeError, load_dialect
 from hemlockhall_router.process.directory import Directory
@@ -96,8 +96,8 @@
             self._timing,
             self._describe,
             self._suspect,
-            lambda keys: self.directory.shut_elsewhere(keys),
-            lambda facts: self.directory.learn(facts),
+            lambda keys: self.directory.apply_presumed_draining(keys),
+            lambda facts: self.directory.apply_layer_updates(facts),
             metrics,
         )
         self._routes_watch = self._watch(Table.ROUTING, self._routing_changed)
@@ -110,7 +110,7 @@
         )
         self.lease = Lease(self._store, host.name, self._boot)
         retry = settings.retry
-        self.budget = Budget(
+        self.budget = RetryBudget(
             retry.ratio,
             retry.constant,
             retry.window_s,
@@ -229,7 +229,7 @@
             logger.info("configuration in force", version=routing.version)
 
     def _endpoints_changed(self, rows: list[Row]) -> None:
-        self.directory.take(rows)
+        self.directory.apply_rows(rows)
 
     def _watch(self, table: Table, changed: Callable[[list[Row]], None]) -> Watch:
         def taken(rows: list[Row]) -> None:
@@ -244,14 +244,22 @@
         now = time.monotonic()
         loads = []
         down = []
-        for held in self.directory.held.values():
-            if held.in_flight:
-                heard_ms = min(UNHEARD_MS, int((now - held.heard_here_at) * 1000))
+        for record in self.directory.records.values():
+            if record.in_flight:
+                heard_ms = min(
+                    UNHEARD_MS, int((now - record.last_local_event_at) * 1000)
+                )
                 loads.append(
-                    Load(held.key, held.in_flight, held.tokens, held.unread, heard_ms)
+                    Load(
+                        record.key,
+                        record.in_flight,
+                        record.tokens,
+                        record.prefill_tokens,
+                        heard_ms,
+                    )
                 )
-            if held.down:
-                down.append(held.key)
+            if record.down:
+                down.append(record.key)
         return Own(
             fence=self.lease.fence,
             steady=self._outage.steady,
@@ -259,24 +267,24 @@
             cut=self._routes_watch.cut or self._endpoints_watch.cut,
             loads=loads,
             down=down,
-            shut=self.directory.shut_keys(),
-            facts=self.directory.facts(),
+            shut=self.directory.presumed_draining_keys(),
+            facts=self.directory.layer_updates(),
             usage=self.budget.usage(),
         )
 
     def _suspect(self, keys: list[int]) -> None:
         suspects = set(keys)
         known = []
-        for held in self.directory.held.values():
-            if held.key in suspects and not held.down:
-                known.append(held.endpoint.id)
-        self._prober.check(known)
+        for record in self.directory.records.values():
+            if record.key in suspects and not record.down:
+                known.append(record.endpoint.id)
+        self._prober.request_probes(known)
 
     async def _upkeep(self) -> None:
         while True:
             await anyio.sleep(UPKEEP_S)
-            self.directory.expire()
-            self.directory.set_elsewhere(self.hosts.loads())
+            self.directory.process_deadlines()
+            self.directory.set_remote_loads(self.hosts.loads())
             await self._pool.sweep()
 
     async def _settings_watch(self) -> None:
--- a/packages/router/src/hemlockhall_router/request/attempt.py
+++ b/packages/router/src/hemlockhall_router/request/attempt.py
@@ -107,7 +107,7 @@
                     raise
                 # It may be dead or slow. Whoever can go on without it is asked
                 # first: a slow one has the next event ready soon.
-                self._tools.prober.check(self.ids)
+                self._tools.prober.request_probes(self.ids)
                 self._patience.grow()
                 raise MovedError(str(exc), served=True, reason=Retry.SILENT) from exc
         if data is not None:
@@ -120,7 +120,7 @@
         """Note that an event came that the caller did not have."""
         if not self.running.began:
             took = time.monotonic() - self._began
-            self._tools.directory.succeeded(self.path.first_endpoint.id, took)
+            self._tools.directory.record_success(self.path.first_endpoint.id, took)
             self._tools.metrics.first_event.record(took)
             self._occupied.read()
         self._occupied.heard()
@@ -145,7 +145,7 @@
         try:
             self._conn = await self._tools.pool.connect(first.address, deadline)
         except NotSentError as exc:
-            self._tools.directory.failed(first.id, str(exc))
+            self._tools.directory.record_failure(first.id, str(exc))
             raise TryFailedError(
                 Retry.NOT_SENT, str(exc), ran=False, suspects=[first.id]
             ) from exc
@@ -173,7 +173,7 @@
         try:
             yield
         except WireError as exc:
-            self._tools.prober.check(self.ids)
+            self._tools.prober.request_probes(self.ids)
             self._patience.grow()
             silent = isinstance(exc, SilentError)
             raise TryFailedError(
@@ -207,11 +207,11 @@
                 continue
             key = part.endpoint.id
             if head.status == NO_ROOM:
-                self._tools.directory.busy(key)
-                self._tools.directory.refused(key)
+                self._tools.directory.record_busy(key)
+                self._tools.directory.record_refusal(key)
             else:
-                self._tools.directory.failed(key, f"status {head.status}")
-            self._tools.prober.check([key])
+                self._tools.directory.record_failure(key, f"status {head.status}")
+            self._tools.prober.request_probes([key])
             return key
         return self.path.first_endpoint.id
 
--- a/packages/router/src/hemlockhall_router/request/plain.py
+++ b/packages/router/src/hemlockhall_router/request/plain.py
@@ -15,7 +15,7 @@
 
 if TYPE_CHECKING:
     from hemlockhall_router.connection.message import Response
-    from hemlockhall_router.process.directory import Held
+    from hemlockhall_router.process.directory import EndpointRecord
     from hemlockhall_router.request.reply import Reply
 
 # Seconds a connection may take to open: far above the delay inside a region,
@@ -52,32 +52,32 @@
         """Send the request until it is answered or given up."""
         work = self._work
         while True:
-            held = self._tools.chooser.endpoint(work.service.name, self._tried)
-            if held is None or work.left_s <= 0:
+            record = self._tools.chooser.choose_endpoint(work.service.name, self._tried)
+            if record is None or work.left_s <= 0:
                 await self._give_up(Refusal.NO_ENDPOINT)
                 return
-            if self._sent and not self._tools.budget.allow(work.service.name):
+            if self._sent and not self._tools.budget.try_acquire(work.service.name):
                 await self._give_up(Refusal.RETRY_BUDGET)
                 return
             try:
-                response = await self._try(held)
+                response = await self._try(record)
             except TryFailedError as again:
-                if not self._continue(held, again):
+                if not self._continue(record, again):
                     await self._give_up(Refusal.ENDPOINTS_FULL)
                     return
                 continue
             await self._reply.whole(response)
             return
 
-    def _continue(self, held: Held, again: TryFailedError) -> bool:
+    def _continue(self, record: EndpointRecord, again: TryFailedError) -> bool:
         """Note a failed try; return whether another one may follow."""
         work = self._work
-        self._tried.add(held.endpoint.id)
+        self._tried.add(record.endpoint.id)
         self._tools.metrics.retry(again.reason)
         logger.info(
             "try failed",
             request=id_text(work.id),
-            endpoint=held.endpoint.id,
+            endpoint=record.endpoint.id,
             reason=again.reason.value,
             cause=str(again),
             ran=again.ran,
@@ -92,9 +92,9 @@
         self._ran = True
         return work.route.retryable and len(self._tried) < work.route.max_attempts
 
-    async def _try(self, held: Held) -> Response:
+    async def _try(self, record: EndpointRecord) -> Response:
         work, tools = self._work, self._tools
-        endpoint = held.endpoint
+        endpoint = record.endpoint
         connect_deadline = min(work.deadline, time.monotonic() + CONNECT_S)
         try:
             if work.route.retryable:
@@ -105,28 +105,28 @@
                 host, port = endpoint.address
                 conn = await ClientConnection.open(host, port, connect_deadline)
         except NotSentError as exc:
-            tools.directory.failed(endpoint.id, str(exc))
+            tools.directory.record_failure(endpoint.id, str(exc))
             raise TryFailedError(Retry.NOT_SENT, str(exc), ran=False) from exc
         started = time.monotonic()
         try:
             with Occupied(tools.directory, [endpoint.id]):
-                response = await self._ask(conn, held)
+                response = await self._ask(conn, record)
         except WireError as exc:
             silent = time.monotonic() - started > PATIENCE_FLOOR_S
-            tools.directory.failed(endpoint.id, str(exc))
+            tools.directory.record_failure(endpoint.id, str(exc))
             reason = Retry.SILENT if silent else Retry.BROKEN
             raise TryFailedError(reason, str(exc), ran=True) from exc
         finally:
             if not conn.reusable:
                 await conn.close()
         await tools.pool.give(endpoint.address, conn, response.head)
-        return self._judge(held, response, time.monotonic() - started)
+        return self._judge(record, response, time.monotonic() - started)
 
-    async def _ask(self, conn: ClientConnection, held: Held) -> Response:
+    async def _ask(self, conn: ClientConnection, record: EndpointRecord) -> Response:
         work, tools = self._work, self._tools
-        text = outgoing(work, tools.dialect, held.endpoint)
+        text = outgoing(work, tools.dialect, record.endpoint)
         await conn.send(text, work.deadline)
-        deadline = self._patience(held)
+        deadline = self._patience(record)
         for _ in range(MAX_FOREIGN):
             bodiless = work.head.method == b"HEAD"
             response = await conn.whole(deadline, bodiless=bodiless)
@@ -138,27 +138,31 @@
             logger.warning("foreign answer skipped", request=id_text(work.id))
         raise BrokenError("only answers to other requests came")
 
-    def _patience(self, held: Held) -> float:
+    def _patience(self, record: EndpointRecord) -> float:
         work = self._work
         if not work.route.retryable or work.route.max_attempts <= self._sent + 1:
             return work.deadline
-        wait = max(PATIENCE_FLOOR_S, PATIENCE_FACTOR * held.latency_s)
+        wait = max(PATIENCE_FLOOR_S, PATIENCE_FACTOR * record.latency_s)
         return min(work.deadline, time.monotonic() + wait)
 
-    def _judge(self, held: Held, response: Response, took_s: float) -> Response:
+    def _judge(
+        self, record: EndpointRecord, response: Response, took_s: float
+    ) -> Response:
         """Return the answer to relay, or raise ``TryFailedError``."""
         names = self._tools.dialect.headers
         status = response.head.status
-        key = held.endpoint.id
+        key = record.endpoint.id
         if response.head.header(names.not_run) is not None or status == 421:
             if status == 421:
-                self._tools.directory.failed(key, "another endpoint has its address")
+                self._tools.directory.record_failure(
+                    key, "another endpoint has its address"
+                )
             raise TryFailedError(Retry.REJECTED, f"status {status}", ran=False)
         if response.head.header(b"content-encoding") is not None:
             raise TryFailedError(Retry.FAILED, "the body is encoded", ran=True)
         if status < 300 and response.head.header(names.signature) is None:
             raise TryFailedError(Retry.FAILED, "no signature", ran=True)
-        self._tools.directory.succeeded(key, took_s)
+        self._tools.directory.record_success(key, took_s)
         self._tools.metrics.answer_time.record(took_s)
         if status >= 500 and self._work.route.retryable:
             cause = f"status {status}"
--- a/packages/router/src/hemlockhall_router/request/stream.py
+++ b/packages/router/src/hemlockhall_router/request/stream.py
@@ -146,7 +146,9 @@
         avoid = self._avoid
         if moved.reason is Retry.SILENT:
             avoid = avoid.union(old.ids)
-        path = self._tools.chooser.path(self._work.service, avoid, size=self._work.size)
+        path = self._tools.chooser.choose_path(
+            self._work.service, avoid, tokens=self._work.size
+        )
         if path is None or path.first_endpoint.id == old.path.first_endpoint.id:
             self._leave_silent(moved)
             return
@@ -195,7 +197,7 @@
         return True
 
     def _allow(self) -> bool:
-        return self._tools.budget.allow(self._work.service.name)
+        return self._tools.budget.try_acquire(self._work.service.name)
 
     def _may_leave(self, path: Path) -> bool:
         """Return whether the route allows one more endpoint than this path's."""
@@ -240,11 +242,15 @@
         poll_s = HOLD_POLL_S
         while True:
             starts_at = self._starts_at()
-            path = chooser.path(work.service, self._avoid, starts_at, size=work.size)
+            path = chooser.choose_path(
+                work.service, self._avoid, starts_at, tokens=work.size
+            )
             if path is not None:
                 return path
             if time.monotonic() >= deadline:
-                path = chooser.path(work.service, set(), starts_at, size=work.size)
+                path = chooser.choose_path(
+                    work.service, set(), starts_at, tokens=work.size
+                )
                 if path is not None or work.left_s <= 0 or self._too_long():
                     return path
             await anyio.sleep(poll_s)
@@ -279,7 +285,7 @@
         """
         there = []
         for key, endpoint in self._ran_at.items():
-            if self._tools.directory.may_run(endpoint):
+            if self._tools.directory.may_still_run(endpoint):
                 there.append(key)
         if len(there) < self._work.route.max_attempts:
             return None
--- a/packages/router/src/hemlockhall_router/request/work.py
+++ b/packages/router/src/hemlockhall_router/request/work.py
@@ -12,10 +12,10 @@
     from hemlockhall_router.connection.message import Headers, RequestHead
     from hemlockhall_router.connection.pool import Pool
     from hemlockhall_router.policy.data_centre_link import DataCentreLinks
-    from hemlockhall_router.process.budget import Budget
+    from hemlockhall_router.process.budget import RetryBudget
     from hemlockhall_router.process.chooser import Chooser
     from hemlockhall_router.process.dialect import Dialect, Tokens
-    from hemlockhall_router.process.directory import Directory, Held
+    from hemlockhall_router.process.directory import Directory, EndpointRecord
     from hemlockhall_router.process.metric import Metrics
     from hemlockhall_router.process.prober import Prober
     from hemlockhall_router.request.running import Running
@@ -35,7 +35,7 @@
     pool: Pool
     directory: Directory
     chooser: Chooser
-    budget: Budget
+    budget: RetryBudget
     metrics: Metrics
     prober: Prober
     pipes: DataCentreLinks
@@ -132,23 +132,23 @@
         self._tokens = tokens
         self._entered = False
         self._reading = False
-        self._held: list[Held] = []
+        self._held: list[EndpointRecord] = []
         for key in ids:
-            held = directory.held.get(key)
-            if held is not None:
-                self._held.append(held)
+            record = directory.records.get(key)
+            if record is not None:
+                self._held.append(record)
 
     def enter(self) -> None:
         """Count the request from now on."""
         self._reading = True
-        for held in self._held:
-            held.in_flight += 1
-            held.tokens += self._tokens
-            held.unread += self._tokens
+        for record in self._held:
+            record.in_flight += 1
+            record.tokens += self._tokens
+            record.prefill_tokens += self._tokens
             if self._running is not None:
-                held.running.add(self._running)
+                record.active_streams.add(self._running)
         if self._running is not None:
-            self._directory.running.add(self._running)
+            self._directory.active_streams.add(self._running)
         self._entered = True
 
     def read(self) -> None:
@@ -156,14 +156,14 @@
         if not self._reading:
             return
         self._reading = False
-        for held in self._held:
-            held.unread -= self._tokens
+        for record in self._held:
+            record.prefill_tokens -= self._tokens
 
     def heard(self) -> None:
         """Note that an event came through the endpoints."""
         now = time.monotonic()
-        for held in self._held:
-            held.heard_at = held.heard_here_at = now
+        for record in self._held:
+            record.last_event_at = record.last_local_event_at = now
 
     def exit(self) -> None:
         """Count it no more; once is enough."""
@@ -171,13 +171,13 @@
             return
         self.read()
         self._entered = False
-        for held in self._held:
-            held.in_flight -= 1
-            held.tokens -= self._tokens
+        for record in self._held:
+            record.in_flight -= 1
+            record.tokens -= self._tokens
             if self._running is not None:
-                held.running.discard(self._running)
+                record.active_streams.discard(self._running)
         if self._running is not None:
-            self._directory.running.discard(self._running)
+            self._directory.active_streams.discard(self._running)
 
     def __enter__(self) -> None:
         self.enter()
--- a/packages/standins/src/hemlockhall_standins/router/hall.py
+++ b/packages/standins/src/hemlockhall_standins/router/hall.py
@@ -118,7 +118,7 @@
         await endpoint.start(self.group)
         self.enter(endpoint, service, **row)
         for router in self.routers:
-            await self.until(lambda router=router: name in router.directory.held)
+            await self.until(lambda router=router: name in router.directory.records)
         return endpoint
 
     def enter(self, endpoint: ScriptedEndpoint, service: str, **row: object) -> None:
--- a/packages/standins/src/hemlockhall_standins/router/pool.py
+++ b/packages/standins/src/hemlockhall_standins/router/pool.py
@@ -11,7 +11,7 @@
 from hemlockhall_router.version.routing import Accelerator, Model, Service
 
 if TYPE_CHECKING:
-    from hemlockhall_router.process.directory import Held
+    from hemlockhall_router.process.directory import EndpointRecord
     from hemlockhall_router.version.endpoint import LayerRange
 
 SERVICE = "pool"
@@ -48,12 +48,12 @@
 
 def enter(
     known: Directory, name: str, place: str, accelerator: str, layers: LayerRange
-) -> Held:
+) -> EndpointRecord:
     """Enter an endpoint that holds layers, and return its entry."""
     endpoint = Endpoint(
         name, SERVICE, "10.0.0.1", 1, place, accelerator=accelerator, layers=layers
     )
-    return known.enter(endpoint)
+    return known.add(endpoint)
 
 
 __all__ = [
--- a/tests/router/test_budget.py
+++ b/tests/router/test_budget.py
@@ -9,7 +9,7 @@
 
 from hemlockhall_router.membership.message import Usage
 from hemlockhall_router.membership.tally import add_usage
-from hemlockhall_router.process.budget import LAG_S, SAFETY_FACTOR, Budget
+from hemlockhall_router.process.budget import LAG_S, SAFETY_FACTOR, RetryBudget
 
 RATIO = 0.2
 CONSTANT = 248.0
@@ -24,11 +24,11 @@
     def __init__(self, hosts: int = HOSTS, lag_s: float = LAG_S - STEP_S) -> None:
         self.now = 0.0
         self.told: deque[list[Usage]] = deque(maxlen=max(1, round(lag_s / STEP_S)))
-        self.parts: list[list[Budget]] = []
+        self.parts: list[list[RetryBudget]] = []
         self.budgets = []
         self.spent: list[tuple[float, int]] = []
         for _ in range(hosts):
-            budget = Budget(
+            budget = RetryBudget(
                 RATIO,
                 CONSTANT,
                 WINDOW_S,
@@ -49,14 +49,14 @@
     def spend(self, host: int, wanted: int) -> int:
         """Ask for repeats at one host; return how many it allowed."""
         allowed = 0
-        while allowed < wanted and self.budgets[host].allow("pool"):
+        while allowed < wanted and self.budgets[host].try_acquire("pool"):
             allowed += 1
         self.spent.append((self.now, allowed))
         return allowed
 
     def requests(self, host: int, count: int) -> None:
         for _ in range(count):
-            self.budgets[host].request("pool")
+            self.budgets[host].record_request("pool")
 
     def in_window(self) -> int:
         return sum(n for at, n in self.spent if at > self.now - WINDOW_S)
@@ -76,21 +76,21 @@
         all together stay inside the allowance."""
         budgets = []
         for _ in range(4):
-            budgets.append(Budget(0.2, 100.0, 10.0, lambda: 4, lambda: (1, [])))
+            budgets.append(RetryBudget(0.2, 100.0, 10.0, lambda: 4, lambda: (1, [])))
         requests = allowed = 0
         for budget in budgets:
             for _ in range(50):
-                budget.request("pool")
+                budget.record_request("pool")
                 requests += 1
-            while budget.allow("pool"):
+            while budget.try_acquire("pool"):
                 allowed += 1
         assert 0 < allowed <= SAFETY_FACTOR * (0.2 * requests + 100.0)
 
     def test_services_are_counted_apart(self) -> None:
-        budget = Budget(0.0, 10.0, 10.0, lambda: 1, lambda: (1, []))
-        while budget.allow("pool"):
+        budget = RetryBudget(0.0, 10.0, 10.0, lambda: 1, lambda: (1, []))
+        while budget.try_acquire("pool"):
             pass
-        assert budget.allow("desk")
+        assert budget.try_acquire("desk")
 
 
 class TestUnevenLosses:
--- a/tests/router/test_directory.py
+++ b/tests/router/test_directory.py
@@ -16,7 +16,7 @@
     ROOMY,
     SETTLED_S,
     Directory,
-    Held,
+    EndpointRecord,
 )
 from hemlockhall_router.process.setting import BoundsSection
 from hemlockhall_router.process.store import Row
@@ -31,7 +31,7 @@
 def directory() -> Directory:
     made = Directory(StandinDialect().endpoint, lambda: 0.0, Timing(BoundsSection()))
     value = msgspec.json.encode(EndpointRow("pool", 1))
-    made.take([Row("p1", value, 1)])
+    made.apply_rows([Row("p1", value, 1)])
     return made
 
 
@@ -42,25 +42,25 @@
         for which it was left out, so that no path was left for four seconds
         and everybody was refused."""
         for _ in range(10):
-            directory.failed("p1", "refused")
-        assert directory.held["p1"].avoid_deadline <= time.monotonic() + AVOID_S
+            directory.record_failure("p1", "refused")
+        assert directory.records["p1"].backoff_deadline <= time.monotonic() + AVOID_S
 
     def test_failures_one_after_another_count_more(self, directory: Directory) -> None:
-        held = directory.held["p1"]
+        record = directory.records["p1"]
         for _ in range(3):
-            held.avoid_deadline = 0.0
-            directory.failed("p1", "broken")
-        assert held.avoid_deadline > time.monotonic() + AVOID_S
+            record.backoff_deadline = 0.0
+            directory.record_failure("p1", "broken")
+        assert record.backoff_deadline > time.monotonic() + AVOID_S
 
     def test_an_endpoint_without_room_is_left_out_briefly(
         self, directory: Directory
     ) -> None:
-        held = directory.held["p1"]
+        record = directory.records["p1"]
         for _ in range(5):
-            held.avoid_deadline = 0.0
-            directory.busy("p1")
-        assert held.avoid_deadline <= time.monotonic() + BUSY_S
-        assert held.failures == 0
+            record.backoff_deadline = 0.0
+            directory.record_busy("p1")
+        assert record.backoff_deadline <= time.monotonic() + BUSY_S
+        assert record.failures == 0
 
 
 def report(
@@ -71,54 +71,56 @@
 
 class TestLeavingWithoutAWord:
     @pytest.fixture()
-    def held(self, directory: Directory) -> Held:
-        held = directory.held["p1"]
-        held.changed_at -= 2 * SETTLED_S
-        return held
+    def record(self, directory: Directory) -> EndpointRecord:
+        record = directory.records["p1"]
+        record.changed_at -= 2 * SETTLED_S
+        return record
 
     def test_one_that_refuses_though_it_has_room_is_left_out(
-        self, directory: Directory, held: Held
+        self, directory: Directory, record: EndpointRecord
     ) -> None:
         """Guards against paths through endpoints that leave while the store is away."""
-        directory.refused("p1")
+        directory.record_refusal("p1")
         directory.reported("p1", report(int(TOTAL * ROOMY / 2)))
         assert directory.usable("pool") == []
-        assert directory.members("pool") == []
-        assert directory.shut_keys() == [endpoint_key("p1")]
+        assert directory.live_endpoints("pool") == []
+        assert directory.presumed_draining_keys() == [endpoint_key("p1")]
 
-    def test_one_that_is_full_is_not(self, directory: Directory, held: Held) -> None:
+    def test_one_that_is_full_is_not(
+        self, directory: Directory, record: EndpointRecord
+    ) -> None:
         """Guards against a layout that gives up endpoints under load."""
-        directory.refused("p1")
+        directory.record_refusal("p1")
         directory.reported("p1", report(int(TOTAL * 0.6)))
-        assert directory.usable("pool") == [held]
+        assert directory.usable("pool") == [record]
 
     def test_one_that_tells_no_memory_is_not(
-        self, directory: Directory, held: Held
+        self, directory: Directory, record: EndpointRecord
     ) -> None:
-        directory.refused("p1")
+        directory.record_refusal("p1")
         directory.reported("p1", replace(report(0), memory_total=0))
-        assert directory.usable("pool") == [held]
+        assert directory.usable("pool") == [record]
 
     def test_one_that_has_just_changed_is_not(self, directory: Directory) -> None:
-        directory.refused("p1")
+        directory.record_refusal("p1")
         directory.reported("p1", report(0))
-        assert directory.usable("pool") == [directory.held["p1"]]
+        assert directory.usable("pool") == [directory.records["p1"]]
 
     def test_what_another_host_found_is_not_passed_on_as_its_own(
-        self, directory: Directory, held: Held
+        self, directory: Directory, record: EndpointRecord
     ) -> None:
         """Guards against two hosts that keep an endpoint out for each other."""
-        directory.shut_elsewhere([endpoint_key("p1")])
+        directory.apply_presumed_draining([endpoint_key("p1")])
         assert directory.usable("pool") == []
-        assert directory.shut_keys() == []
+        assert directory.presumed_draining_keys() == []
 
     def test_a_new_run_of_it_is_used_at_once(
-        self, directory: Directory, held: Held
+        self, directory: Directory, record: EndpointRecord
     ) -> None:
-        directory.shut_elsewhere([endpoint_key("p1")])
+        directory.apply_presumed_draining([endpoint_key("p1")])
         row = msgspec.json.encode(EndpointRow("pool", 1, born=2))
-        directory.take([Row("p1", row, 2)])
-        assert directory.usable("pool") == [held]
+        directory.apply_rows([Row("p1", row, 2)])
+        assert directory.usable("pool") == [record]
 
 
 class TestFacts:
@@ -127,9 +129,9 @@
     ) -> None:
         """Guards against requests along layers that were given up in an outage."""
         key = endpoint_key("p1")
-        directory.learn([Fact(key, 1, 3, 4, 8)])
-        assert directory.held["p1"].endpoint.layers == LayerRange(4, 8)
-        assert directory.facts() == [Fact(key, 1, 3, 4, 8)]
+        directory.apply_layer_updates([Fact(key, 1, 3, 4, 8)])
+        assert directory.records["p1"].endpoint.layers == LayerRange(4, 8)
+        assert directory.layer_updates() == [Fact(key, 1, 3, 4, 8)]
 
     @pytest.mark.parametrize("fact", [(1, 3, 0, 4), (1, 2, 0, 4), (2, 9, 0, 4)])
     def test_older_ones_and_those_of_another_run_are_not(
@@ -137,20 +139,20 @@
     ) -> None:
         """Guards against a layout that goes back to an older one."""
         key = endpoint_key("p1")
-        directory.learn([Fact(key, 1, 3, 4, 8)])
-        directory.learn([Fact(key, *fact)])
-        assert directory.held["p1"].endpoint.layers == LayerRange(4, 8)
+        directory.apply_layer_updates([Fact(key, 1, 3, 4, 8)])
+        directory.apply_layer_updates([Fact(key, *fact)])
+        assert directory.records["p1"].endpoint.layers == LayerRange(4, 8)
 
     def test_an_older_entry_of_the_store_reverts_nothing(
         self, directory: Directory
     ) -> None:
         directory.reported("p1", report(0, orders=3, layers=LayerRange(4, 8)))
         row = EndpointRow("pool", 1, orders=2, layers=(0, 8))
-        directory.take([Row("p1", msgspec.json.encode(row), 2)])
-        assert directory.held["p1"].endpoint.layers == LayerRange(4, 8)
+        directory.apply_rows([Row("p1", msgspec.json.encode(row), 2)])
+        assert directory.records["p1"].endpoint.layers == LayerRange(4, 8)
         row = EndpointRow("pool", 1, orders=3, layers=(4, 8))
-        directory.take([Row("p1", msgspec.json.encode(row), 3)])
-        assert directory.facts() == []
+        directory.apply_rows([Row("p1", msgspec.json.encode(row), 3)])
+        assert directory.layer_updates() == []
 
 
 class TestElsewhere:
@@ -159,13 +161,13 @@
     ) -> None:
         """Guards against endpoints left out for a fault of this host's own link."""
         directory.set_down("p1", down=True)
-        held = directory.held["p1"]
-        directory.set_elsewhere({held.key: Load(held.key, 1, 100, 0, 50)})
-        assert held.down
-        held.down_at -= 2 * HEARD_AFTER_S
-        directory.set_elsewhere({held.key: Load(held.key, 1, 100, 0, 50)})
-        assert not held.down
-        assert held.load == 1
+        record = directory.records["p1"]
+        directory.set_remote_loads({record.key: Load(record.key, 1, 100, 0, 50)})
+        assert record.down
+        record.down_at -= 2 * HEARD_AFTER_S
+        directory.set_remote_loads({record.key: Load(record.key, 1, 100, 0, 50)})
+        assert not record.down
+        assert record.load == 1
 
 
 class TestReusedAddress:
@@ -173,7 +175,7 @@
         """Let an endpoint appear anew at the address of one that crashed."""
         directory.set_down("p1", down=True)
         value = msgspec.json.encode(EndpointRow("pool", 1, born=7))
-        directory.take([Row("p2", value, 2)])
+        directory.apply_rows([Row("p2", value, 2)])
 
     def test_an_old_run_gets_no_requests_once_its_address_has_a_new_one(
         self, directory: Directory
@@ -181,7 +183,7 @@
         """Guards against paths with one address twice, which engines refuse."""
         self.restart(directory)
         directory.set_down("p1", down=False)
-        assert directory.usable("pool") == [directory.held["p2"]]
+        assert directory.usable("pool") == [directory.records["p2"]]
 
     def test_an_old_run_is_given_no_orders_once_its_address_has_a_new_one(
         self, directory: Directory
@@ -189,74 +191,74 @@
         """Guards against layers that are counted as held by a run that ended."""
         self.restart(directory)
         directory.set_down("p1", down=False)
-        assert [member.id for member in directory.members("pool")] == ["p2"]
+        assert [member.id for member in directory.live_endpoints("pool")] == ["p2"]
 
     def test_a_report_of_the_new_run_does_not_revive_the_old_one(
         self, directory: Directory
     ) -> None:
         """Guards against an old entry that takes over the layers of the new run."""
-        directory.held["p1"].endpoint = replace(
-            directory.held["p1"].endpoint, started_ms=3
+        directory.records["p1"].endpoint = replace(
+            directory.records["p1"].endpoint, started_ms=3
         )
         answer = replace(report(0, orders=1, layers=LayerRange(0, 4)), started_ms=7)
         directory.set_down("p1", down=True)
         directory.reported("p1", answer)
         self.restart(directory)
         directory.set_down("p1", down=False)
-        assert directory.usable("pool") == [directory.held["p2"]]
+        assert directory.usable("pool") == [directory.records["p2"]]
 
     def test_an_entry_that_comes_late_does_not_replace_a_newer_run(
         self, directory: Directory
     ) -> None:
         """Guards against a delayed entry that takes the live run out of service."""
-        directory.held["p1"].endpoint = replace(
-            directory.held["p1"].endpoint, started_ms=9
+        directory.records["p1"].endpoint = replace(
+            directory.records["p1"].endpoint, started_ms=9
         )
         self.restart(directory)
         directory.set_down("p1", down=False)
-        assert directory.usable("pool") == [directory.held["p1"]]
+        assert directory.usable("pool") == [directory.records["p1"]]
 
     def test_a_new_run_under_the_old_id_is_used(self, directory: Directory) -> None:
         """Guards against an endpoint that restarts under its id and stays unused."""
         self.restart(directory)
-        directory.take([Row("p2", b"", 3, True)])
+        directory.apply_rows([Row("p2", b"", 3, True)])
         value = msgspec.json.encode(EndpointRow("pool", 1, born=8))
-        directory.take([Row("p1", value, 4)])
+        directory.apply_rows([Row("p1", value, 4)])
         directory.set_down("p1", down=False)
-        assert directory.usable("pool") == [directory.held["p1"]]
+        assert directory.usable("pool") == [directory.records["p1"]]
 
 
 class TestMayRun:
     def test_an_endpoint_that_is_known_may_run(self, directory: Directory) -> None:
-        endpoint = directory.held["p1"].endpoint
-        assert directory.may_run(endpoint)
+        endpoint = directory.records["p1"].endpoint
+        assert directory.may_still_run(endpoint)
         directory.set_down("p1", down=True)
-        assert directory.may_run(endpoint)
+        assert directory.may_still_run(endpoint)
 
     def test_an_endpoint_that_left_without_a_word_may_run(
         self, directory: Directory
     ) -> None:
         """Guards against more runs than a route allows while a removed one serves."""
-        endpoint = directory.held["p1"].endpoint
-        directory.take([Row("p1", b"", 2, True)])
-        assert directory.may_run(endpoint)
+        endpoint = directory.records["p1"].endpoint
+        directory.apply_rows([Row("p1", b"", 2, True)])
+        assert directory.may_still_run(endpoint)
 
     def test_an_endpoint_that_was_down_when_its_entry_went_has_ended(
         self, directory: Directory
     ) -> None:
         """Guards against streams that are held to an endpoint that crashed."""
-        endpoint = directory.held["p1"].endpoint
+        endpoint = directory.records["p1"].endpoint
         directory.set_down("p1", down=True)
-        directory.take([Row("p1", b"", 2, True)])
-        assert not directory.may_run(endpoint)
+        directory.apply_rows([Row("p1", b"", 2, True)])
+        assert not directory.may_still_run(endpoint)
 
     def test_a_run_whose_address_has_a_newer_one_has_ended(
         self, directory: Directory
     ) -> None:
         """Guards against streams that are held to a run that was replaced."""
-        endpoint = directory.held["p1"].endpoint
+        endpoint = directory.records["p1"].endpoint
         value = msgspec.json.encode(EndpointRow("pool", 1, born=7))
-        directory.take([Row("p2", value, 2)])
-        assert not directory.may_run(endpoint)
-        directory.take([Row("p1", b"", 3, True)])
-        assert not directory.may_run(endpoint)
+        directory.apply_rows([Row("p2", value, 2)])
+        assert not directory.may_still_run(endpoint)
+        directory.apply_rows([Row("p1", b"", 3, True)])
+        assert not directory.may_still_run(endpoint)
--- a/tests/router/test_load_fleet.py
+++ b/tests/router/test_load_fleet.py
@@ -10,8 +10,8 @@
 from hypothesis import strategies as st
 
 from hemlockhall_router.policy.data_centre_link import DataCentreLinks
-from hemlockhall_router.process.catalog import SAMPLE
 from hemlockhall_router.process.chooser import Chooser
+from hemlockhall_router.process.replica_index import SAMPLE_SIZE
 from hemlockhall_router.version.coverage import Coverage, fewest_parts
 from hemlockhall_router.version.endpoint import Endpoint, LayerRange
 from hemlockhall_router.version.layout import endpoints_beyond_max_stages, plan_layout
@@ -212,12 +212,12 @@
         found = fleet(count, 3)
         held = settled(found, ReplicaDivision())
         for endpoint in found:
-            known.enter(replace(endpoint, layers=held[endpoint.id]))
-        sample = known.catalog.sample(POOL, MODEL, "p0")
+            known.add(replace(endpoint, layers=held[endpoint.id]))
+        sample = known.replica_index.sample(POOL, MODEL, "p0")
         most = max(len(group) for group in groups_of(known))
-        assert len(sample) <= SAMPLE + most
+        assert len(sample) <= SAMPLE_SIZE + most
         chooser = Chooser(known, "p0", DataCentreLinks(lambda: 1), lambda: 1)
-        assert chooser.path(service(MODEL), set(), size=900) is not None
+        assert chooser.choose_path(service(MODEL), set(), tokens=900) is not None
 
     def test_a_path_is_found_though_the_sampled_replicas_are_broken(self) -> None:
         """Guards against refusals while another replica is whole."""
@@ -228,19 +228,19 @@
         whole = division.replica(found[0])
         for endpoint in found:
             if division.replica(endpoint) == whole:
-                known.enter(replace(endpoint, layers=held[endpoint.id]))
+                known.add(replace(endpoint, layers=held[endpoint.id]))
             else:
-                known.enter(replace(endpoint, layers=LayerRange(0, 1)))
+                known.add(replace(endpoint, layers=LayerRange(0, 1)))
         chooser = Chooser(known, "p1", DataCentreLinks(lambda: 1), lambda: 1)
-        path = chooser.path(service(MODEL), set(), size=900)
+        path = chooser.choose_path(service(MODEL), set(), tokens=900)
         assert path is not None
         for part in path.stages[1:]:
             assert division.replica(part.endpoint) == whole
 
 
 def groups_of(known) -> list[list]:
-    division = known.catalog.division(POOL, MODEL)
+    division = known.replica_index.division(POOL, MODEL)
     made: dict[Replica, list] = {}
-    for held in known.catalog.endpoints(POOL):
-        made.setdefault(division.replica(held.endpoint), []).append(held)
+    for record in known.replica_index.endpoints(POOL):
+        made.setdefault(division.replica(record.endpoint), []).append(record)
     return list(made.values())
--- a/tests/router/test_load_loss.py
+++ b/tests/router/test_load_loss.py
@@ -44,11 +44,11 @@
         pipes = DataCentreLinks(lambda: hosts_known)
         chooser = Chooser(known, "x", pipes, lambda: hosts_known)
         for _ in range(STREAMS // HOSTS):
-            path = chooser.path(SERVICE, set(), size=TOKENS)
+            path = chooser.choose_path(SERVICE, set(), tokens=TOKENS)
             assert path is not None
-            held = known.held[path.first_endpoint.id]
-            held.unread += TOKENS
-            held.tokens += TOKENS
+            record = known.records[path.first_endpoint.id]
+            record.prefill_tokens += TOKENS
+            record.tokens += TOKENS
             placed[path.first_endpoint.id] += TOKENS
     return placed
 
--- a/tests/router/test_load_pipe.py
+++ b/tests/router/test_load_pipe.py
@@ -47,7 +47,7 @@
     known = directory()
     for place, layers in LAYOUT.items():
         enter(known, place, place, "fast", layers)
-    known.held["z"].tokens_elsewhere = tokens
+    known.records["z"].remote_tokens = tokens
     return known
 
 
@@ -67,7 +67,7 @@
     for number in range(PER_S * SECONDS):
         clock.now = 100.0 + number / PER_S
         chooser, pipes = random.choice(choosers)  # noqa: S311
-        path = chooser.path(SERVICE, set(), size=TOKENS)
+        path = chooser.choose_path(SERVICE, set(), tokens=TOKENS)
         assert path is not None
         pipes.record_transfer(path, MODEL, TOKENS)
         chosen.append((clock.now, path))
@@ -105,11 +105,11 @@
         clock = Clock()
         pipes = DataCentreLinks(lambda: 1, clock)
         chooser = Chooser(broken_copies(), "x", pipes, lambda: HOSTS)
-        path = chooser.path(SERVICE, set(), size=TOKENS)
+        path = chooser.choose_path(SERVICE, set(), tokens=TOKENS)
         pipes.record_transfer(path, MODEL, 100_000)
-        assert len(chooser.path(SERVICE, set(), size=TOKENS).stages) == 1
+        assert len(chooser.choose_path(SERVICE, set(), tokens=TOKENS).stages) == 1
         clock.now += transfer_s(MODEL, 100_000)
-        assert len(chooser.path(SERVICE, set(), size=TOKENS).stages) == 2
+        assert len(chooser.choose_path(SERVICE, set(), tokens=TOKENS).stages) == 2
 
 
 # A pipe that one prompt takes for some 45 ms, and the hosts around it.
@@ -135,11 +135,11 @@
             enter(known, place, "x", "fast", layers)
         enter(known, "y", "y", "fast", LAYOUT["y"])
         # Others' prompts wait at home, as far as this host has heard.
-        known.held["x2"].unread_elsewhere = 30_000
+        known.records["x2"].remote_prefill_tokens = 30_000
         pipes = DataCentreLinks(lambda: MANY_HOSTS, clock)
         chooser = Chooser(known, "x", pipes, lambda: MANY_HOSTS // 2)
         for _ in range(MOVED):
-            path = chooser.path(service(model), set(), size=TOKENS)
+            path = chooser.choose_path(service(model), set(), tokens=TOKENS)
             assert path is not None
             pipes.record_transfer(path, model, TOKENS)
             if len({part.endpoint.data_centre for part in path.stages}) > 1:
@@ -164,6 +164,6 @@
         enter(known, "y", "y", "fast", LAYOUT["y"])
         pipes = DataCentreLinks(lambda: MANY_HOSTS, Clock())
         chooser = Chooser(known, "x", pipes, lambda: MANY_HOSTS // 2)
-        path = chooser.path(SERVICE, set(), size=TOKENS)
+        path = chooser.choose_path(SERVICE, set(), tokens=TOKENS)
         assert path is not None
         assert len(path.stages) == 2
--- a/tests/router/test_plain.py
+++ b/tests/router/test_plain.py
@@ -116,7 +116,7 @@
             gone = ScriptedEndpoint("d1", answer, free_port())
             h.enter(gone, "desk")
             await h.endpoint("d2", answer)
-            await h.until(lambda: "d1" in h.routers[0].directory.held)
+            await h.until(lambda: "d1" in h.routers[0].directory.records)
             for number in range(4):
                 key = f"b{number}"
                 response = await h.ask("/book/x", method="POST", request_id=key)
--- a/tests/router/test_planner.py
+++ b/tests/router/test_planner.py
@@ -61,7 +61,7 @@
         async with hall(ROUTES) as h:
             pool = await laid_out(h, 4)
             assert all(endpoint.orders[-1].at_once for endpoint in pool)
-            held = h.routers[0].directory.held
+            held = h.routers[0].directory.records
             await h.until(lambda: all(held[e.name].endpoint.layers for e in pool))
             spare = await h.endpoint("p9", unused, **EMPTY)
             await h.until(lambda: spare.orders)
@@ -110,7 +110,7 @@
             pool = await laid_out(h, 4)
             holder = h.routers[0]
             other = await h.add_router(grace_s=3.0)
-            await h.until(lambda: other.directory.members("pool"))
+            await h.until(lambda: other.directory.live_endpoints("pool"))
             await h.until(holder.hosts.staying)
             h.store.down = True
             await holder.leave()
--- a/tests/router/test_prober.py
+++ b/tests/router/test_prober.py
@@ -21,7 +21,7 @@
 def directory() -> Directory:
     made = Directory(StandinDialect().endpoint, lambda: 0.0, Timing(BoundsSection()))
     for name in ("p1", "p2", "p3"):
-        made.enter(Endpoint(name, "pool", "127.0.0.1", 1, "here"))
+        made.add(Endpoint(name, "pool", "127.0.0.1", 1, "here"))
     return made
 
 
@@ -29,7 +29,7 @@
     running = Running(["p1", "p2", "p3"], QUIET_S, movable=True)
     running.heard(QUIET_S)
     running.heard_at -= 10 * QUIET_S
-    directory.running.add(running)
+    directory.active_streams.add(running)
     return running
 
 
@@ -44,7 +44,9 @@
         prober = Prober(StandinDialect(), directory, lambda: 1)
         running = silent(directory)
         now = time.monotonic()
-        directory.held["p1"].heard_at = directory.held["p3"].heard_at = now
+        directory.records["p1"].last_event_at = directory.records[
+            "p3"
+        ].last_event_at = now
         prober._find_silent()
         assert prober._due() == ["p2"]
         assert running.doubted
@@ -55,11 +57,11 @@
         prober = Prober(StandinDialect(), directory, lambda: 1)
         running = silent(directory)
         now = time.monotonic()
-        for held in directory.held.values():
-            held.heard_at = now
+        for record in directory.records.values():
+            record.last_event_at = now
         prober._find_silent()
         assert prober._due() == []
-        directory.held["p2"].heard_at = now - 10 * QUIET_S
+        directory.records["p2"].last_event_at = now - 10 * QUIET_S
         prober._find_silent()
         assert prober._due() == ["p2"]
         assert running.doubted
--- a/tests/router/test_store.py
+++ b/tests/router/test_store.py
@@ -57,7 +57,7 @@
             h.routes = [RouteRow("/new/", "idempotent", "desk")]
             h.configure()
             await h.until(lambda: second.routing.version == 2)
-            await h.until(lambda: "d1" in second.directory.held)
+            await h.until(lambda: "d1" in second.directory.records)
             assert (await h.ask("/read/x", router=1)).head.status == 404
             assert (await h.ask("/new/x", router=1)).body == b"d1"
             h.store.remove(Table.ENDPOINTS, "d1")
@@ -70,7 +70,7 @@
             leaving = await h.endpoint("d1", answer)
             await h.endpoint("d2", answer)
             h.enter(leaving, "desk", draining=True)
-            held = h.routers[0].directory.held
+            held = h.routers[0].directory.records
             await h.until(lambda: held["d1"].endpoint.draining)
             for number in range(5):
                 assert (await h.ask("/read/x", request_id=f"r{number}")).body == b"d2"
@@ -80,7 +80,7 @@
         async with hall(ROUTES) as h:
             await h.endpoint("d1", answer)
             h.store.remove(Table.ENDPOINTS, "d1")
-            await h.until(lambda: "d1" not in h.routers[0].directory.held)
+            await h.until(lambda: "d1" not in h.routers[0].directory.records)
             assert (await h.ask("/read/x")).head.status == 503
 
     async def test_entries_lost_in_an_outage_may_come_back(self) -> None:
@@ -92,8 +92,8 @@
             await anyio.sleep(0.5)
             h.store.remove(Table.ENDPOINTS, "d1")
             h.store.down = False
-            held = h.routers[0].directory.held
-            await h.until(lambda: held["d1"].vanished_deadline is not None)
+            held = h.routers[0].directory.records
+            await h.until(lambda: held["d1"].entry_grace_deadline is not None)
             assert (await h.ask("/read/x")).body == b"d1"
 
     async def test_entries_that_stay_away_after_an_outage_are_gone(self) -> None:
@@ -103,7 +103,7 @@
             await anyio.sleep(0.5)
             h.store.remove(Table.ENDPOINTS, "d1")
             h.store.down = False
-            await h.until(lambda: "d1" not in h.routers[0].directory.held)
+            await h.until(lambda: "d1" not in h.routers[0].directory.records)
 
     async def test_an_entry_that_only_this_host_missed_is_gone_at_once(self) -> None:
         """One host loses the store, the other keeps it. An endpoint leaves
@@ -116,14 +116,14 @@
             cut.tables, cut.history = h.store.tables, h.store.history
             cut.version = h.store.version
             second = await h.add_router(address=address)
-            await h.until(lambda: "d1" in second.directory.held)
+            await h.until(lambda: "d1" in second.directory.records)
             await h.until(lambda: second.hosts.another_steady())
             cut.down = True
             await h.until(lambda: not second._endpoints_watch.reached)
-            held = second.directory.held["d1"]
+            record = second.directory.records["d1"]
             h.store.remove(Table.ENDPOINTS, "d1")
-            await h.until(lambda: not second.directory.held or held.doubtful)
-            assert "d1" not in second.directory.held
+            await h.until(lambda: not second.directory.records or record.entry_lapsed)
+            assert "d1" not in second.directory.records
 
     async def test_an_endpoint_in_doubt_is_not_preferred(self) -> None:
         """After an outage one of two entries is missing. Its endpoint may have
@@ -135,8 +135,8 @@
             await anyio.sleep(0.5)
             h.store.remove(Table.ENDPOINTS, "d1")
             h.store.down = False
-            held = h.routers[0].directory.held
-            await h.until(lambda: held["d1"].vanished_deadline is not None)
+            held = h.routers[0].directory.records
+            await h.until(lambda: held["d1"].entry_grace_deadline is not None)
             for number in range(5):
                 assert (await h.ask("/read/x", request_id=f"r{number}")).body == b"d2"
             assert not doubtful.arrivals
@@ -147,15 +147,15 @@
             h.store.put(Table.ENDPOINTS, "d2", b"\xff\x00")
             h.store.put(Table.ENDPOINTS, "d3", b'{"service": 5, "port": "x"}')
             await anyio.sleep(0.4)
-            assert set(h.routers[0].directory.held) == {"d1"}
+            assert set(h.routers[0].directory.records) == {"d1"}
 
 
 class TestLease:
     async def test_only_one_host_holds_it(self) -> None:
         _, store = new_store()
         first, second = Lease(store, "a", "1"), Lease(store, "b", "1")
-        await first.take()
-        await second.take()
+        await first.acquire_or_renew()
+        await second.acquire_or_renew()
         assert first.held
         assert not second.held
 
@@ -166,20 +166,20 @@
         _, store = new_store()
         first, second = Lease(store, "a", "1"), Lease(store, "b", "1")
         store.lose_writes = 1
-        await first.take()
+        await first.acquire_or_renew()
         assert not first.held
-        await second.take()
+        await second.acquire_or_renew()
         assert not second.held
-        await first.take()
+        await first.acquire_or_renew()
         assert first.held
 
     async def test_a_released_lease_is_free_at_once_with_a_higher_fence(self) -> None:
         _, store = new_store()
         first, second = Lease(store, "a", "1"), Lease(store, "b", "1")
-        await first.take()
+        await first.acquire_or_renew()
         fence = first.fence
         await first.release()
-        await second.take()
+        await second.acquire_or_renew()
         assert second.held
         assert second.fence > fence
         assert not first.held
--- a/tests/router/test_stream.py
+++ b/tests/router/test_stream.py
@@ -79,14 +79,14 @@
 
         async with anyio.create_task_group() as group:
             group.start_soon(ask)
-            held = directory.held["p1"]
-            await h.until(lambda: held.running)
-            await h.until(lambda: all(run.began for run in held.running))
+            record = directory.records["p1"]
+            await h.until(lambda: record.active_streams)
+            await h.until(lambda: all(run.began for run in record.active_streams))
             other = await h.endpoint("p2", other_script, **ALL)
             h.enter(first, "pool", draining=True, layers=(0, 8), accelerator="big")
-            await h.until(lambda: held.leave_deadline is not None)
-            held.leave_deadline = 0.0
-            directory.expire()
+            await h.until(lambda: record.next_move_deadline is not None)
+            record.next_move_deadline = 0.0
+            directory.process_deadlines()
             yield bodies, other, first
 
 
@@ -103,7 +103,7 @@
         async with hall(ROUTES) as h:
             first = await h.endpoint("p1", write, **{**ALL, "layers": (0, 5)})
             await h.endpoint("p2", write, **{**ALL, "layers": (3, 8)})
-            await h.until(lambda: h.routers[0].directory.held["p2"].endpoint.layers)
+            await h.until(lambda: h.routers[0].directory.records["p2"].endpoint.layers)
             assert (await h.ask("/draft/x", method="POST")).body == WHOLE
             path = first.arrivals[0].header("path") or ""
             spans = [part.partition(":")[2].split("-") for part in path.split()]
@@ -167,7 +167,7 @@
 
             async with anyio.create_task_group() as group:
                 group.start_soon(ask)
-                await h.until(lambda: h.routers[0].directory.held["p1"].in_flight)
+                await h.until(lambda: h.routers[0].directory.records["p1"].in_flight)
                 other = await h.endpoint("p2", write, **ALL)
             assert response_task == [WHOLE]
             assert other.arrivals[0].header("resume-after") == "2"
@@ -249,8 +249,8 @@
 
             async with anyio.create_task_group() as group:
                 group.start_soon(ask)
-                held = directory.held["p0"]
-                await h.until(lambda: any(run.began for run in held.running))
+                record = directory.records["p0"]
+                await h.until(lambda: any(run.began for run in record.active_streams))
                 pool.append(await h.endpoint("p1", cut, **fixed))
                 pool.append(await h.endpoint("p2", cut, **fixed))
                 directory.set_down("p0", down=True)
@@ -289,12 +289,12 @@
 
             async with anyio.create_task_group() as group:
                 group.start_soon(ask)
-                held = directory.held["p0"]
-                await h.until(lambda: any(run.began for run in held.running))
+                record = directory.records["p0"]
+                await h.until(lambda: any(run.began for run in record.active_streams))
                 pool.append(await h.endpoint("p1", cut, **fixed))
                 pool.append(await h.endpoint("p2", cut, **fixed))
                 h.store.remove(Table.ENDPOINTS, "p0")
-                await h.until(lambda: "p0" not in directory.held)
+                await h.until(lambda: "p0" not in directory.records)
             assert bodies == [WHOLE]
             assert sum(1 for endpoint in pool if endpoint.arrivals) == 2
 
@@ -401,12 +401,12 @@
 
             async with anyio.create_task_group() as group:
                 group.start_soon(ask)
-                held = router.directory.held["p1"]
-                await h.until(lambda: held.running)
+                record = router.directory.records["p1"]
+                await h.until(lambda: record.active_streams)
                 h.enter(pool, "pool", draining=True, layers=(0, 8), accelerator="big")
-                await h.until(lambda: held.leave_deadline is not None)
-                held.leave_deadline = 0.0
-                router.directory.expire()
+                await h.until(lambda: record.next_move_deadline is not None)
+                record.next_move_deadline = 0.0
+                router.directory.process_deadlines()
                 await anyio.sleep(0.1)
                 go_on.set()
             assert bodies == [WHOLE]
@@ -437,13 +437,13 @@
 
             async with anyio.create_task_group() as group:
                 group.start_soon(ask)
-                held = directory.held["p1"]
-                await h.until(lambda: held.running)
+                record = directory.records["p1"]
+                await h.until(lambda: record.active_streams)
                 other = await h.endpoint("p2", write, **ALL)
                 h.enter(pool, "pool", draining=True, layers=(0, 8), accelerator="big")
-                await h.until(lambda: held.leave_deadline is not None)
-                held.leave_deadline = 0.0
-                directory.expire()
+                await h.until(lambda: record.next_move_deadline is not None)
+                record.next_move_deadline = 0.0
+                directory.process_deadlines()
                 await anyio.sleep(0.1)
                 go_on.set()
             assert bodies == [WHOLE]
@@ -457,7 +457,7 @@
         route = RouteRow("/draft/", "stream", "pool", resumable=True, pause_s=60.0)
         async with hall([route]) as h:
             await h.endpoint("p1", cut_once(broken), **ALL)
-            held = h.routers[0].directory.held["p1"]
+            record = h.routers[0].directory.records["p1"]
             bodies: list[bytes] = []
 
             async def ask() -> None:
@@ -465,12 +465,12 @@
 
             async with anyio.create_task_group() as group:
                 group.start_soon(ask)
-                await h.until(lambda: held.running)
-                held.avoid_deadline = float("inf")
+                await h.until(lambda: record.active_streams)
+                record.backoff_deadline = float("inf")
                 await anyio.sleep(RESTORE_S + 0.2)
                 broken.set()
                 await anyio.sleep(0.3)
-                held.avoid_deadline = 0.0
+                record.backoff_deadline = 0.0
             assert bodies == [WHOLE]
 
     async def test_a_begun_stream_is_not_given_up_while_no_path_is_there(self) -> None:
@@ -479,7 +479,7 @@
         route = RouteRow("/draft/", "stream", "pool", resumable=True, pause_s=60.0)
         async with hall([route]) as h:
             await h.endpoint("p1", cut_once(broken), **ALL)
-            held = h.routers[0].directory.held["p1"]
+            record = h.routers[0].directory.records["p1"]
             bodies: list[bytes] = []
 
             async def ask() -> None:
@@ -487,12 +487,12 @@
 
             async with anyio.create_task_group() as group:
                 group.start_soon(ask)
-                await h.until(lambda: held.running)
-                await h.until(lambda: all(run.began for run in held.running))
-                held.avoid_deadline = float("inf")
+                await h.until(lambda: record.active_streams)
+                await h.until(lambda: all(run.began for run in record.active_streams))
+                record.backoff_deadline = float("inf")
                 broken.set()
                 await anyio.sleep(RESTORE_S * 2)
-                held.avoid_deadline = 0.0
+                record.backoff_deadline = 0.0
             assert bodies == [WHOLE]
 
 
@@ -572,8 +572,8 @@
         async with hall([route]) as h:
             first = await h.endpoint("p1", slow, **fixed)
             await h.endpoint("p2", refuse, **fixed)
-            held = h.routers[0].directory.held
-            held["p2"].avoid_deadline = float("inf")
+            held = h.routers[0].directory.records
+            held["p2"].backoff_deadline = float("inf")
             bodies: list[bytes] = []
 
             async def ask() -> None:
@@ -581,8 +581,8 @@
 
             async with anyio.create_task_group() as group:
                 group.start_soon(ask)
-                await h.until(lambda: held["p1"].running)
-                held["p2"].avoid_deadline = 0.0
+                await h.until(lambda: held["p1"].active_streams)
+                held["p2"].backoff_deadline = 0.0
             assert bodies == [WHOLE]
             assert len(first.arrivals) == 1
 
@@ -603,9 +603,9 @@
 
             async with anyio.create_task_group() as group:
                 group.start_soon(ask)
-                held = h.routers[0].directory.held["p1"]
-                await h.until(lambda: held.running)
-                await h.until(lambda: all(run.began for run in held.running))
+                record = h.routers[0].directory.records["p1"]
+                await h.until(lambda: record.active_streams)
+                await h.until(lambda: all(run.began for run in record.active_streams))
                 broken.set()
                 await anyio.sleep(0.3)
                 budget.constant = constant
@@ -635,14 +635,14 @@
 
             async with anyio.create_task_group() as group:
                 group.start_soon(ask)
-                held = directory.held["p1"]
-                await h.until(lambda: held.running)
-                await h.until(lambda: all(run.began for run in held.running))
+                record = directory.records["p1"]
+                await h.until(lambda: record.active_streams)
+                await h.until(lambda: all(run.began for run in record.active_streams))
                 other = await h.endpoint("p2", write, **ALL)
                 h.enter(first, "pool", draining=True, layers=(0, 8), accelerator="big")
-                await h.until(lambda: held.leave_deadline is not None)
-                held.leave_deadline = 0.0
-                directory.expire()
+                await h.until(lambda: record.next_move_deadline is not None)
+                record.next_move_deadline = 0.0
+                directory.process_deadlines()
                 directory.set_down("p1", down=True)
                 await anyio.sleep(0.1)
                 go_on.set()
