--- a/packages/router/src/hemlockhall_router/connection/caller.py
+++ b/packages/router/src/hemlockhall_router/connection/caller.py
@@ -10,8 +10,8 @@
 import anyio
 import httptools
 
-from hemlockhall_router.connection.error import CallerError, CallerGoneError
-from hemlockhall_router.connection.message import RequestHead, response_text
+from hemlockhall_router.connection.error import CallerDisconnectedError, CallerError
+from hemlockhall_router.connection.message import RequestHead, encode_response_head
 
 if TYPE_CHECKING:
     from anyio.abc import SocketStream
@@ -129,7 +129,7 @@
         self._broken: CallerError | None = None
         self.close_after = False
 
-    async def next_head(self) -> RequestHead | None:
+    async def read_head(self) -> RequestHead | None:
         """Return the head of the next request, or None when the caller is done."""
         self._head_bytes = 0
         deadline = time.monotonic() + self.limits.idle_s
@@ -147,7 +147,7 @@
                 if started:
                     raise CallerError(408, "the head took too long") from None
                 return None
-            except CallerGoneError:
+            except CallerDisconnectedError:
                 return None
             if not started:
                 deadline = time.monotonic() + self.limits.header_s
@@ -160,7 +160,7 @@
             if done and _head_size(message) > self.limits.header_bytes:
                 raise CallerError(431, "the head is too large")
 
-    async def body(self, deadline: float) -> bytes:
+    async def read_body(self, deadline: float) -> bytes:
         """Return the whole body of the current request."""
         message = self._events.messages[0]
         while True:
@@ -175,7 +175,7 @@
             except TimeoutError:
                 raise CallerError(408, "the body took too long") from None
 
-    def done(self) -> None:
+    def finish_request(self) -> None:
         """Forget the current request, which has been answered."""
         message = self._events.messages.popleft()
         if not message.complete:
@@ -183,13 +183,13 @@
         while self._ahead and not self._events.messages:
             self._feed(self._ahead.pop(0))
 
-    async def watch(self) -> None:
+    async def wait_disconnect(self) -> None:
         """Return when the caller has left; keep what it sends ahead."""
         size = 0
         while size < AHEAD_BYTES:
             try:
                 data = await self._receive(float("inf"))
-            except CallerGoneError:
+            except CallerDisconnectedError:
                 return
             size += len(data)
             self._ahead.append(data)
@@ -197,11 +197,11 @@
         await anyio.sleep_forever()
 
     async def send(self, data: bytes) -> None:
-        """Send bytes; raise ``CallerGoneError`` if the caller has left."""
+        """Send bytes; raise ``CallerDisconnectedError`` if the caller has left."""
         try:
             await self._stream.send(data)
         except (anyio.BrokenResourceError, anyio.ClosedResourceError, OSError) as exc:
-            raise CallerGoneError from exc
+            raise CallerDisconnectedError from exc
 
     async def refuse(self, exc: CallerError) -> None:
         """Answer a request that could not be read, and end the connection."""
@@ -212,9 +212,9 @@
             (b"Connection", b"close"),
         ]
         try:
-            await self.send(response_text(exc.status, b"", headers) + body)
+            await self.send(encode_response_head(exc.status, b"", headers) + body)
             await self.linger()
-        except CallerGoneError:
+        except CallerDisconnectedError:
             return
 
     async def linger(self) -> None:
@@ -224,7 +224,7 @@
             await self._stream.send_eof()
             while True:
                 await self._receive(deadline)
-        except (TimeoutError, CallerGoneError, OSError):
+        except (TimeoutError, CallerDisconnectedError, OSError):
             return
 
     async def _receive(self, deadline: float) -> bytes:
@@ -235,9 +235,9 @@
             # A subclass of OSError, so it must be told apart first.
             raise
         except anyio.EndOfStream as exc:
-            raise CallerGoneError from exc
+            raise CallerDisconnectedError from exc
         except (anyio.BrokenResourceError, anyio.ClosedResourceError, OSError) as exc:
-            raise CallerGoneError from exc
+            raise CallerDisconnectedError from exc
 
     def _feed(self, data: bytes) -> None:
         try:
--- a/packages/router/src/hemlockhall_router/connection/client.py
+++ b/packages/router/src/hemlockhall_router/connection/client.py
@@ -13,10 +13,10 @@
 from anyio.abc import SocketAttribute
 
 from hemlockhall_router.connection.error import (
-    BrokenError,
-    NoHttpError,
+    ConnectionLostError,
     NotSentError,
-    SilentError,
+    ProtocolError,
+    ReadTimeoutError,
 )
 from hemlockhall_router.connection.message import Response, ResponseHead
 
@@ -119,11 +119,13 @@
             with anyio.fail_after(max(0.0, deadline - time.monotonic())):
                 await self._stream.send(text)
         except TimeoutError as exc:
-            raise BrokenError("the request could not be sent in time") from exc
+            raise ConnectionLostError("the request could not be sent in time") from exc
         except (anyio.BrokenResourceError, anyio.ClosedResourceError, OSError) as exc:
-            raise BrokenError("the connection broke while sending") from exc
+            raise ConnectionLostError("the connection broke while sending") from exc
 
-    async def head(self, deadline: float, *, bodiless: bool = False) -> ResponseHead:
+    async def read_head(
+        self, deadline: float, *, no_body: bool = False
+    ) -> ResponseHead:
         """Return the head of the next final response."""
         self.reusable = False
         messages = self._events.messages
@@ -137,18 +139,18 @@
             # An interim response announces the final one; nothing is relayed.
         head = message.head
         self._message = message
-        self._bodiless = bodiless or head.status in BODILESS
+        self._bodiless = no_body or head.status in BODILESS
         framed = head.header(b"content-length") is not None
         chunked = head.header(b"transfer-encoding") is not None
         self._until_close = not framed and not chunked and not self._bodiless
         return head
 
-    async def chunk(self, deadline: float) -> bytes | None:
+    async def read_chunk(self, deadline: float) -> bytes | None:
         """Return the next bytes of the body, or None when it is complete.
 
         Raises
         ------
-        BrokenError
+        ConnectionLostError
             If the connection broke, or nothing came before ``deadline``.
         """
         message = self._message
@@ -161,23 +163,27 @@
                 await self._read(deadline)
             except _CleanEnd:
                 if not self._until_close:
-                    raise BrokenError("the answer ended before its end") from None
+                    raise ConnectionLostError(
+                        "the answer ended before its end"
+                    ) from None
                 break
         self._finish()
         return None
 
-    async def whole(self, deadline: float, *, bodiless: bool = False) -> Response:
+    async def read_response(
+        self, deadline: float, *, no_body: bool = False
+    ) -> Response:
         """Return a response with its complete body."""
-        head = await self.head(deadline, bodiless=bodiless)
+        head = await self.read_head(deadline, no_body=no_body)
         parts: list[bytes] = []
         size = 0
         while True:
-            part = await self.chunk(deadline)
+            part = await self.read_chunk(deadline)
             if part is None:
                 return Response(head, b"".join(parts))
             size += len(part)
             if size > BODY_LIMIT_BYTES:
-                raise NoHttpError(f"a body of over {BODY_LIMIT_BYTES} bytes")
+                raise ProtocolError(f"a body of over {BODY_LIMIT_BYTES} bytes")
             parts.append(part)
 
     def _finish(self) -> None:
@@ -194,26 +200,26 @@
             with anyio.fail_after(max(0.0, deadline - time.monotonic())):
                 data = await self._stream.receive(READ_BYTES)
         except TimeoutError as exc:
-            raise SilentError("nothing came in time") from exc
+            raise ReadTimeoutError("nothing came in time") from exc
         except anyio.EndOfStream as exc:
             if self._message is not None:
                 raise _CleanEnd from exc
-            raise BrokenError("closed before an answer") from exc
+            raise ConnectionLostError("closed before an answer") from exc
         except (anyio.BrokenResourceError, anyio.ClosedResourceError, OSError) as exc:
-            raise BrokenError("the connection broke") from exc
+            raise ConnectionLostError("the connection broke") from exc
         try:
             self._events.parser.feed_data(data)
         except httptools.HttpParserUpgrade as exc:
-            raise NoHttpError("the endpoint switched protocols") from exc
+            raise ProtocolError("the endpoint switched protocols") from exc
         except httptools.HttpParserError as exc:
             # What came before the spoilt bytes may be a complete answer.
             self._spoilt = True
             last = self._events.messages[0] if self._events.messages else self._message
             if last is not None and last.complete:
                 return
-            raise NoHttpError(f"not an HTTP response: {exc}") from exc
+            raise ProtocolError(f"not an HTTP response: {exc}") from exc
 
-    def quiet(self) -> bool:
+    def is_usable(self) -> bool:
         """Return whether nothing came since the last answer.
 
         Bytes on an idle connection answer nobody's request, and a closed one
--- a/packages/router/src/hemlockhall_router/connection/error.py
+++ b/packages/router/src/hemlockhall_router/connection/error.py
@@ -3,23 +3,23 @@
 from __future__ import annotations
 
 
-class WireError(Exception):
+class TransportError(Exception):
     """Base of what can go wrong on a connection to an endpoint or the store."""
 
 
-class NotSentError(WireError):
+class NotSentError(TransportError):
     """No byte of the request left this host, so it cannot have run."""
 
 
-class BrokenError(WireError):
+class ConnectionLostError(TransportError):
     """The connection broke or fell silent after bytes of the request left."""
 
 
-class SilentError(BrokenError):
+class ReadTimeoutError(ConnectionLostError):
     """Nothing came in time; the connection still stands and may be read on."""
 
 
-class NoHttpError(WireError):
+class ProtocolError(TransportError):
     """The other side sent bytes that are not an HTTP response."""
 
 
@@ -32,16 +32,16 @@
         self.text = text
 
 
-class CallerGoneError(Exception):
+class CallerDisconnectedError(Exception):
     """The caller closed its connection."""
 
 
 __all__ = [
-    "BrokenError",
+    "ConnectionLostError",
     "CallerError",
-    "CallerGoneError",
-    "NoHttpError",
+    "CallerDisconnectedError",
+    "ProtocolError",
     "NotSentError",
-    "SilentError",
-    "WireError",
+    "ReadTimeoutError",
+    "TransportError",
 ]
--- a/packages/router/src/hemlockhall_router/connection/link.py
+++ b/packages/router/src/hemlockhall_router/connection/link.py
@@ -9,7 +9,7 @@
 import anyio
 import msgspec
 
-from hemlockhall_router.connection.error import WireError
+from hemlockhall_router.connection.error import TransportError
 
 if TYPE_CHECKING:
     from anyio.abc import SocketStream
@@ -22,11 +22,11 @@
 COMPRESSION = 1
 
 
-class LinkError(WireError):
+class LinkError(TransportError):
     """A link to another host failed."""
 
 
-class PassedRow(msgspec.Struct, frozen=True, array_like=True):
+class TableRow(msgspec.Struct, frozen=True, array_like=True):
     """A row of the store as another host has it."""
 
     key: str
@@ -48,7 +48,7 @@
     table: str
     version: int
     whole: bool
-    rows: list[PassedRow]
+    rows: list[TableRow]
 
 
 Message = Fetch | Delta
@@ -111,7 +111,7 @@
         del self._buffer[:count]
         return taken
 
-    async def ended(self, deadline: float) -> None:
+    async def wait_closed(self, deadline: float) -> None:
         """Return when the other side has closed the connection."""
         try:
             with anyio.move_on_after(max(0.0, deadline - time.monotonic())):
@@ -144,5 +144,5 @@
     "Link",
     "LinkError",
     "Message",
-    "PassedRow",
+    "TableRow",
 ]
--- a/packages/router/src/hemlockhall_router/connection/message.py
+++ b/packages/router/src/hemlockhall_router/connection/message.py
@@ -21,7 +21,7 @@
         b"expect",
     )
 )
-REASONS = {
+REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
     401: b"Unauthorized",
@@ -36,7 +36,7 @@
 }
 
 
-def find(headers: Headers, name: bytes) -> bytes | None:
+def find_header(headers: Headers, name: bytes) -> bytes | None:
     """Return the first value of a header; ``name`` is in lower case."""
     for key, value in headers:
         if key.lower() == name:
@@ -44,7 +44,7 @@
     return None
 
 
-def forwardable(headers: Headers) -> Headers:
+def end_to_end_headers(headers: Headers) -> Headers:
     """Return the headers without those that concern one connection only."""
     dropped = set(HOP_HEADERS)
     for key, value in headers:
@@ -73,7 +73,7 @@
 
     def header(self, name: bytes) -> bytes | None:
         """Return the first value of a header; ``name`` is in lower case."""
-        return find(self.headers, name)
+        return find_header(self.headers, name)
 
 
 @dataclass(slots=True)
@@ -87,7 +87,7 @@
 
     def header(self, name: bytes) -> bytes | None:
         """Return the first value of a header; ``name`` is in lower case."""
-        return find(self.headers, name)
+        return find_header(self.headers, name)
 
 
 @dataclass(slots=True)
@@ -98,7 +98,9 @@
     body: bytes = field(default=b"", repr=False)
 
 
-def request_text(method: bytes, target: bytes, headers: Headers, body: bytes) -> bytes:
+def encode_request(
+    method: bytes, target: bytes, headers: Headers, body: bytes
+) -> bytes:
     """Return a request as bytes; a body is sent with its length."""
     lines = [method + b" " + target + b" HTTP/1.1"]
     for key, value in headers:
@@ -108,9 +110,9 @@
     return b"\r\n".join(lines) + b"\r\n\r\n" + body
 
 
-def response_text(status: int, reason: bytes, headers: Headers) -> bytes:
+def encode_response_head(status: int, reason: bytes, headers: Headers) -> bytes:
     """Return the head of a response as bytes."""
-    reason = reason or REASONS.get(status, b"")
+    reason = reason or REASON_PHRASES.get(status, b"")
     lines = [b"HTTP/1.1 %d %s" % (status, reason)]
     for key, value in headers:
         lines.append(key + b": " + value)
@@ -123,8 +125,8 @@
     "RequestHead",
     "Response",
     "ResponseHead",
-    "find",
-    "forwardable",
-    "request_text",
-    "response_text",
+    "find_header",
+    "end_to_end_headers",
+    "encode_request",
+    "encode_response_head",
 ]
--- a/packages/router/src/hemlockhall_router/connection/pool.py
+++ b/packages/router/src/hemlockhall_router/connection/pool.py
@@ -23,30 +23,30 @@
 IDLE_MAX = 16
 
 
-class Pool:
+class ConnectionPool:
     """Idle connections by address."""
 
     def __init__(self) -> None:
         self._idle: dict[Address, list[ClientConnection]] = {}
 
-    async def take(self, address: Address) -> ClientConnection | None:
+    async def take_idle(self, address: Address) -> ClientConnection | None:
         """Return an idle connection that is still sound, or None."""
         idle = self._idle.get(address, [])
         while idle:
             conn = idle.pop()
-            if conn.quiet():
+            if conn.is_usable():
                 return conn
             await conn.close()
         return None
 
-    async def connect(self, address: Address, deadline: float) -> ClientConnection:
+    async def acquire(self, address: Address, deadline: float) -> ClientConnection:
         """Return an idle connection, or a new one."""
-        conn = await self.take(address)
+        conn = await self.take_idle(address)
         if conn is not None:
             return conn
         return await ClientConnection.open(address[0], address[1], deadline)
 
-    async def give(
+    async def release(
         self, address: Address, conn: ClientConnection, head: ResponseHead
     ) -> None:
         """Keep a connection after a complete answer, or close it."""
@@ -57,7 +57,7 @@
         conn.idle_deadline = time.monotonic() + _idle_s(head)
         idle.append(conn)
 
-    async def sweep(self) -> None:
+    async def close_expired(self) -> None:
         """Close the connections whose time is over."""
         # The lists are changed before anything is awaited: requests take
         # connections from them meanwhile.
@@ -65,7 +65,7 @@
         for address in list(self._idle):
             sound: list[ClientConnection] = []
             for conn in self._idle[address]:
-                (sound if conn.quiet() else ended).append(conn)
+                (sound if conn.is_usable() else ended).append(conn)
             self._idle[address] = sound
             if not sound:
                 del self._idle[address]
@@ -89,5 +89,5 @@
 
 __all__ = [
     "Address",
-    "Pool",
+    "ConnectionPool",
 ]
--- a/packages/router/src/hemlockhall_router/membership/exchange.py
+++ b/packages/router/src/hemlockhall_router/membership/exchange.py
@@ -172,7 +172,7 @@
             logger.info("host heard", host=sender.name, address=sender.address)
         for contact in message.contacts:
             self.roster.relayed(contact, now)
-        deadline = now + self._timing.dead_s
+        deadline = now + self._timing.host_timeout_s
         if isinstance(message, Report):
             if sender.place == self.own.place:
                 self._reports[sender.name] = _Heard(message, now, deadline)
@@ -185,7 +185,7 @@
             if known is None or known.message.place != message.place:
                 self._news = True
             # The other data centre may have lost its hubs, and not its hosts.
-            deadline += self._timing.dead_s
+            deadline += self._timing.host_timeout_s
             self._summaries[key] = _Heard(message, now, deadline)
 
     def places(self) -> list[Place]:
@@ -360,7 +360,7 @@
         """
 
         def rank(heard: _Heard[Summary]) -> tuple[bool, int]:
-            fresh = now - heard.at < self._timing.dead_s
+            fresh = now - heard.at < self._timing.host_timeout_s
             return (fresh, heard.message.place.hosts)
 
         found: dict[str, _Heard[Summary]] = {}
--- a/packages/router/src/hemlockhall_router/membership/hosts.py
+++ b/packages/router/src/hemlockhall_router/membership/hosts.py
@@ -18,8 +18,8 @@
 import msgspec
 from loguru import logger
 
-from hemlockhall_router.connection.error import WireError
-from hemlockhall_router.connection.link import Delta, Fetch, Link, PassedRow
+from hemlockhall_router.connection.error import TransportError
+from hemlockhall_router.connection.link import Delta, Fetch, Link, TableRow
 from hemlockhall_router.membership.count import Count
 from hemlockhall_router.membership.exchange import Exchange
 from hemlockhall_router.membership.message import (
@@ -31,11 +31,11 @@
 )
 from hemlockhall_router.membership.tally import add_usage
 from hemlockhall_router.process.store import (
-    ConditionError,
     Row,
     Store,
     StoreError,
     Table,
+    VersionConflictError,
 )
 
 if TYPE_CHECKING:
@@ -150,35 +150,35 @@
             group.start_soon(self._receive, udp)
             await listener.serve(self._hand_over, group)
 
-    def wanted(self) -> bool:
+    def should_watch(self) -> bool:
         """Return whether this host should ask the store itself.
 
         Those that follow it do, and a host to which nobody confirms its copies.
         """
         if self._exchange.follows() or not self._known():
             return True
-        oldest = time.monotonic() - self._timing.stale_s * self._patience
-        return any(watch.confirmed_at < oldest for watch in self._watches.values())
+        oldest = time.monotonic() - self._timing.max_staleness_s * self._patience
+        return any(watch.complete_as_of < oldest for watch in self._watches.values())
 
-    def appointed(self) -> bool:
+    def is_store_watcher(self) -> bool:
         """Return whether others rely on what this host gets from the store."""
         return self._exchange.follows()
 
-    def wait_s(self) -> float:
+    def long_poll_s(self) -> float:
         """Return for how long one call for changes waits at the store.
 
         The calls of all that follow it confirm the copies of the others
         several times before one of them grows stale.
         """
         if not self.heard():
-            return self._timing.feed_alone_s
+            return self._timing.long_poll_alone_s
         followers = self._exchange.followers()
         if followers >= self.count():
-            return self._timing.feed_s
+            return self._timing.long_poll_s
         if not self._exchange.follows():
             return 0.0
-        shared_s = self._timing.stale_s * followers / CONFIRMATIONS
-        return min(self._timing.feed_s, shared_s)
+        shared_s = self._timing.max_staleness_s * followers / CONFIRMATIONS
+        return min(self._timing.long_poll_s, shared_s)
 
     def _known(self) -> bool:
         """Return whether this host has copies, and hears where newer ones are."""
@@ -252,7 +252,7 @@
     async def _rounds(self) -> None:
         while True:
             self._exchange.round()
-            await anyio.sleep(self._timing.round_s)
+            await anyio.sleep(self._timing.gossip_interval_s)
 
     async def _send(self, udp: UDPSocket) -> None:
         while True:
@@ -307,7 +307,7 @@
                 self._behind.pop(copy.table, None)
                 continue
             since = self._behind.setdefault(copy.table, now)
-            if watch.reached and now - since < BEHIND_S:
+            if watch.connected and now - since < BEHIND_S:
                 continue
             if copy.table not in self._fetching and self._group is not None:
                 self._fetching.add(copy.table)
@@ -326,7 +326,7 @@
                 await link.close()
             if isinstance(answer, Delta) and answer.table == table:
                 self._take(watch, answer, address)
-        except WireError as exc:
+        except TransportError as exc:
             logger.info("rows not fetched", table=table, host=address, cause=str(exc))
         finally:
             self._fetching.discard(table)
@@ -360,14 +360,14 @@
             if watch is None or not isinstance(message, Fetch):
                 self._bad(f"no table for {message!r:.100}")
                 return
-            whole, rows = watch.since(message.after)
-            passed = [PassedRow(r.key, r.value, r.version, r.deleted) for r in rows]
+            whole, rows = watch.changes_since(message.after)
+            passed = [TableRow(r.key, r.value, r.version, r.deleted) for r in rows]
             await link.send(
                 Delta(message.table, watch.version, whole, passed), deadline
             )
             # The other side closes once it has everything.
-            await link.ended(deadline)
-        except WireError as exc:
+            await link.wait_closed(deadline)
+        except TransportError as exc:
             logger.info("rows not handed over", cause=str(exc))
         finally:
             await link.close()
@@ -401,7 +401,7 @@
                     Table.HOSTS, self._own.name, value, expected, deadline
                 )
                 return written.version
-            except ConditionError as exc:
+            except VersionConflictError as exc:
                 if exc.row is None or exc.row.version == expected:
                     raise
                 if exc.row.value == value:
@@ -420,9 +420,9 @@
 
 def copy_of(watch: Watch) -> Copy:
     """Return how far a copy is, as a message says it."""
-    age_s = time.monotonic() - watch.confirmed_at
+    age_s = time.monotonic() - watch.complete_as_of
     age_ms = int(min(age_s, AGE_MAX_S) * 1000)
-    return Copy(watch.table.value, watch.changed, watch.version, age_ms)
+    return Copy(watch.table.value, watch.last_change, watch.version, age_ms)
 
 
 __all__ = [
--- a/packages/router/src/hemlockhall_router/membership/message.py
+++ b/packages/router/src/hemlockhall_router/membership/message.py
@@ -25,7 +25,7 @@
 class Contact(msgspec.Struct, frozen=True, array_like=True):
     """A host as others can reach it.
 
-    ``power`` ranks hosts, ``boot`` names this run of its process, ``age_ms`` is
+    ``capacity`` ranks hosts, ``boot`` names this run of its process, ``age_ms`` is
     the time since the sender knew that it lives. ``cut`` tells that the store does
     not answer it.
     """
@@ -33,7 +33,7 @@
     name: str
     address: str
     place: str
-    power: int
+    capacity: int
     boot: str
     leaving: bool = False
     age_ms: int = 0
--- a/packages/router/src/hemlockhall_router/membership/roster.py
+++ b/packages/router/src/hemlockhall_router/membership/roster.py
@@ -121,7 +121,7 @@
         found = []
         for member in members:
             asked_at = member.asked_at
-            if asked_at is None or now - asked_at <= self._timing.dead_s:
+            if asked_at is None or now - asked_at <= self._timing.host_timeout_s:
                 found.append(member.contact)
         if place == self.own.place:
             found.append(self.own)
@@ -147,7 +147,7 @@
 
     def lost(self, now: float) -> list[Member]:
         """Return the hosts that are not heard, but may be back."""
-        dead_s = self._timing.dead_s
+        dead_s = self._timing.host_timeout_s
         return [m for m in self.members.values() if now - m.heard_at >= dead_s]
 
     def contacts(self, place: str, now: float) -> list[Contact]:
@@ -171,7 +171,7 @@
         self._view_deadline = now + VIEW_S
         self._view = {}
         self._hubs = {}
-        dead_s = self._timing.dead_s
+        dead_s = self._timing.host_timeout_s
         for member in self.members.values():
             if now - member.heard_at < dead_s:
                 self._view.setdefault(member.contact.place, []).append(member)
@@ -189,7 +189,7 @@
 def _rank(contact: Contact) -> tuple[bool, int, int, str]:
     # The name's checksum spreads hubs over hosts of equal power.
     spread = zlib.crc32(contact.name.encode())
-    return (contact.leaving, -contact.power, spread, contact.name)
+    return (contact.leaving, -contact.capacity, spread, contact.name)
 
 
 def _aged(member: Member, now: float) -> Contact:
--- a/packages/router/src/hemlockhall_router/process/dialect.py
+++ b/packages/router/src/hemlockhall_router/process/dialect.py
@@ -26,8 +26,8 @@
     """Names of headers, in lower case.
 
     ``request_id`` names a caller's attempt and is echoed by endpoints.
-    ``not_run`` stands in answers to requests that did not run. ``signature``
-    proves that an answer is an endpoint's. ``at_fault`` names the endpoint on
+    ``not_executed`` stands in answers to requests that did not run. ``signature``
+    proves that an answer is an endpoint's. ``failed_endpoint`` names the endpoint on
     a path that failed it.
     """
 
@@ -37,16 +37,16 @@
     customer: bytes
     expected_endpoint: bytes
     endpoint_id: bytes
-    not_run: bytes
+    not_executed: bytes
     signature: bytes
     path: bytes
-    at_fault: bytes
+    failed_endpoint: bytes
     resume_after: bytes
-    urgency: bytes
+    priority: bytes
 
 
 @dataclass(slots=True, frozen=True)
-class Call:
+class EndpointCall:
     """A call of this host to an endpoint's own interface."""
 
     method: bytes
@@ -56,11 +56,11 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Tokens:
+class TokenCounts:
     """Sizes of a generation: prompt tokens and most output tokens."""
 
     prompt: int
-    answer: int
+    max_output: int
 
 
 class Dialect(ABC):
@@ -70,45 +70,45 @@
     ready_path: bytes
 
     @abstractmethod
-    def store(self, address: str) -> Store:
+    def open_store(self, address: str) -> Store:
         """Return the store at an address."""
 
     @abstractmethod
-    def routing(self, key: str, value: bytes) -> RoutingConfig | None:
+    def decode_routing(self, key: str, value: bytes) -> RoutingConfig | None:
         """Decode a row of the routing table; None if it holds none."""
 
     @abstractmethod
-    def endpoint(self, key: str, value: bytes) -> Endpoint | None:
+    def decode_endpoint(self, key: str, value: bytes) -> Endpoint | None:
         """Decode a row of the endpoint table; None if it names no endpoint."""
 
     @abstractmethod
-    def tokens(self, head: RequestHead) -> Tokens | None:
+    def decode_token_counts(self, head: RequestHead) -> TokenCounts | None:
         """Return the sizes that a request for a generation states."""
 
     @abstractmethod
-    def path_text(self, path: Path) -> bytes:
+    def encode_path(self, path: Path) -> bytes:
         """Encode a path for its header."""
 
     @abstractmethod
-    def report_call(self) -> Call:
+    def report_call(self) -> EndpointCall:
         """Return the call that asks an endpoint for its state."""
 
     @abstractmethod
-    def report(self, body: bytes) -> EndpointReport:
+    def decode_report(self, body: bytes) -> EndpointReport:
         """Decode the answer to ``report_call``; raise ``DecodeError``."""
 
     @abstractmethod
-    def place_call(
-        self, layers: LayerRange, orders: int, fence: int, *, at_once: bool
-    ) -> Call:
+    def assign_layers_call(
+        self, layers: LayerRange, orders: int, fence: int, *, immediate: bool
+    ) -> EndpointCall:
         """Return the order to hold layers if ``orders`` were begun so far.
 
         Layers that are given up serve what runs on them to its end, unless
-        they are given up ``at_once``.
+        they are given up ``immediate``.
         """
 
     @abstractmethod
-    def repath_call(self, request_id: bytes, path: Path) -> Call:
+    def reroute_call(self, request_id: bytes, path: Path) -> EndpointCall:
         """Return the order to move a running request to another path."""
 
 
@@ -135,11 +135,11 @@
 
 __all__ = [
     "DIALECTS",
-    "Call",
+    "EndpointCall",
     "DecodeError",
     "Dialect",
     "HeaderNames",
-    "Tokens",
+    "TokenCounts",
     "dialect",
     "load_dialect",
 ]
--- a/packages/router/src/hemlockhall_router/process/directory.py
+++ b/packages/router/src/hemlockhall_router/process/directory.py
@@ -212,7 +212,7 @@
         renewed = old.incarnation != endpoint.incarnation
         renewed = renewed or old.address != endpoint.address
         if endpoint.draining and record.next_move_deadline is None:
-            record.next_move_deadline = time.monotonic() + self._timing.move_s
+            record.next_move_deadline = time.monotonic() + self._timing.move_delay_s
         if old.draining != endpoint.draining or old.layers != endpoint.layers:
             logger.info(
                 "endpoint changed",
@@ -318,7 +318,8 @@
             self._left[record.endpoint.incarnation] = deadline
         if record.active_streams:
             record.next_move_deadline = (
-                record.next_move_deadline or time.monotonic() + self._timing.move_s
+                record.next_move_deadline
+                or time.monotonic() + self._timing.move_delay_s
             )
             self._departed.append(record)
         logger.info("endpoint gone", endpoint=key, cause=cause)
@@ -339,7 +340,7 @@
                 record.next_move_deadline is not None
                 and now >= record.next_move_deadline
             ):
-                record.next_move_deadline = now + self._timing.move_again_s
+                record.next_move_deadline = now + self._timing.move_interval_s
                 self._move_some(record, "endpoint leaves", now)
         self._departed = [record for record in self._departed if record.active_streams]
         for incarnation in list(self._left):
@@ -545,7 +546,7 @@
         """Ask some of the streams that an endpoint still serves to go on elsewhere."""
         waiting = []
         for running in record.active_streams:
-            if now - running.asked_at > self._timing.ask_again_s:
+            if now - running.asked_at > self._timing.move_retry_s:
                 waiting.append(running)
         most = ceil(len(record.active_streams) * MOVE_PART)
         for running in waiting[:most]:
--- a/packages/router/src/hemlockhall_router/process/front.py
+++ b/packages/router/src/hemlockhall_router/process/frontend.py
@@ -10,7 +10,7 @@
 from loguru import logger
 
 from hemlockhall_router.connection.caller import CallerLimits, CallerReader
-from hemlockhall_router.connection.error import CallerError, CallerGoneError
+from hemlockhall_router.connection.error import CallerDisconnectedError, CallerError
 from hemlockhall_router.request.plain import PlainRelay
 from hemlockhall_router.request.reason import Refusal
 from hemlockhall_router.request.reply import Reply
@@ -24,7 +24,7 @@
     from anyio.abc import SocketStream
 
     from hemlockhall_router.connection.message import RequestHead
-    from hemlockhall_router.process.dialect import Tokens
+    from hemlockhall_router.process.dialect import TokenCounts
     from hemlockhall_router.request.work import Tools
     from hemlockhall_router.version.routing import Customer, Route, RoutingConfig
 
@@ -50,7 +50,7 @@
         self.text = text
 
 
-class Front:
+class Frontend:
     """Serves callers.
 
     Parameters
@@ -96,7 +96,7 @@
         try:
             while await self._next(reader):
                 continue
-        except CallerGoneError:
+        except CallerDisconnectedError:
             return
         except Exception:  # noqa: BLE001
             # One connection's fault must not end the others' requests.
@@ -115,11 +115,11 @@
             with anyio.CancelScope() as idle:
                 self._idle.add(idle)
                 try:
-                    head = await reader.next_head()
+                    head = await reader.read_head()
                 finally:
                     self._idle.discard(idle)
         except CallerError as exc:
-            self._tools.metrics.refusal(Refusal.UNREADABLE)
+            self._tools.metrics.count_refusal(Refusal.UNREADABLE)
             await reader.refuse(exc)
             return False
         if head is None:
@@ -135,9 +135,9 @@
         deadline = arrived + self._patience_s(head)
         reply = Reply(reader, head, lambda: self.leaving or reader.close_after)
         try:
-            body = await reader.body(deadline)
+            body = await reader.read_body(deadline)
         except CallerError as exc:
-            self._tools.metrics.refusal(Refusal.UNREADABLE)
+            self._tools.metrics.count_refusal(Refusal.UNREADABLE)
             await reader.refuse(exc)
             return False
         gone = False
@@ -145,22 +145,22 @@
 
             async def watch() -> None:
                 nonlocal gone
-                await reader.watch()
+                await reader.wait_disconnect()
                 gone = True
                 group.cancel_scope.cancel()
 
             group.start_soon(watch)
             try:
                 await self._answer(head, body, deadline, arrived, reply)
-            except CallerGoneError:
+            except CallerDisconnectedError:
                 gone = True
             group.cancel_scope.cancel()
-        self._tools.metrics.answer(0 if gone else reply.status)
+        self._tools.metrics.count_response(0 if gone else reply.status)
         if gone:
             # Leaving closed the connections to the endpoints, which stops them.
             logger.info("caller left", request=self._id(head).decode("latin-1"))
             return False
-        reader.done()
+        reader.finish_request()
         if reply.close and reply.complete:
             await reader.linger()
         return reply.complete and not reply.close
@@ -176,7 +176,7 @@
         try:
             work = self._work(head, body, deadline, arrived)
         except _Refused as exc:
-            self._tools.metrics.refusal(exc.refusal)
+            self._tools.metrics.count_refusal(exc.refusal)
             logger.info(
                 "request refused",
                 request=self._id(head).decode("latin-1"),
@@ -206,7 +206,7 @@
         if route is None:
             raise _Refused(Refusal.NO_ROUTE, 404, "no route has this host and path")
         customer = self._customer(routing, route, head)
-        tokens = self._tools.dialect.tokens(head)
+        tokens = self._tools.dialect.decode_token_counts(head)
         now = time.monotonic()
         if now > self._notice and self._end - now < _usual_s(route, tokens):
             raise _Refused(Refusal.LEAVING, 503, "this host is about to end")
@@ -248,11 +248,11 @@
         return routing.version if routing else 0
 
 
-def _usual_s(route: Route, tokens: Tokens | None) -> float:
+def _usual_s(route: Route, tokens: TokenCounts | None) -> float:
     """Return how long an answer usually takes, in seconds."""
     if route.kind is not RouteKind.STREAM:
         return min(route.timeout_s, PLAIN_S)
-    return route.latency_objective_s + (tokens.answer if tokens else 0) * TOKEN_S
+    return route.latency_objective_s + (tokens.max_output if tokens else 0) * TOKEN_S
 
 
 def _target(route: Route) -> str:
@@ -263,5 +263,5 @@
 
 
 __all__ = [
-    "Front",
+    "Frontend",
 ]
--- a/packages/router/src/hemlockhall_router/process/lease.py
+++ b/packages/router/src/hemlockhall_router/process/lease.py
@@ -9,10 +9,10 @@
 from loguru import logger
 
 from hemlockhall_router.process.store import (
-    ConditionError,
     Store,
     StoreError,
     Table,
+    VersionConflictError,
 )
 
 if TYPE_CHECKING:
@@ -87,9 +87,9 @@
                 await self._look(deadline)
             await self._write(deadline)
             self.silent_since = None
-        except ConditionError as exc:
+        except VersionConflictError as exc:
             self.silent_since = None
-            self._clock = (exc.now_s, boot_time())
+            self._clock = (exc.store_time_s, boot_time())
             self.drop("another host wrote the row")
         except _HeldElsewhereError:
             self.silent_since = None
@@ -109,7 +109,7 @@
         try:
             value = msgspec.json.encode(row)
             await self._store.write(Table.LEASE, KEY, value, version, deadline)
-        except ConditionError:
+        except VersionConflictError:
             return
         except StoreError as exc:
             logger.info("lease not released", cause=str(exc))
@@ -117,13 +117,13 @@
 
     async def _look(self, deadline: float) -> None:
         page = await self._store.read(Table.LEASE, deadline)
-        self._clock = (page.now_s, boot_time())
+        self._clock = (page.store_time_s, boot_time())
         self._version = 0
         for row in page.rows:
             if row.key != KEY:
                 continue
             self._version = row.version
-            if self._taken(row, page.now_s):
+            if self._taken(row, page.store_time_s):
                 raise _HeldElsewhereError
 
     def _taken(self, row: Row, now_s: float) -> bool:
@@ -146,7 +146,7 @@
         written = await self._store.write(
             Table.LEASE, KEY, value, self._version, deadline
         )
-        self._clock = (written.now_s, boot_time())
+        self._clock = (written.store_time_s, boot_time())
         self._version = written.version
         # Counted from before the call, so it lapses here first.
         self._deadline = began + TTL_S
--- a/packages/router/src/hemlockhall_router/process/metric.py
+++ b/packages/router/src/hemlockhall_router/process/metric.py
@@ -35,19 +35,19 @@
         self.longest_pause = Latency(
             "hemlockhall_longest_pause_seconds", "Longest pause of each stream"
         )
-        self.answer_time = Latency(
+        self.response_time = Latency(
             "hemlockhall_answer_seconds", "From sending to a whole answer"
         )
 
-    def refusal(self, reason: Refusal) -> None:
+    def count_refusal(self, reason: Refusal) -> None:
         """Count an answer of this host's own."""
         self._count("refusals", reason)
 
-    def retry(self, reason: Retry) -> None:
+    def count_retry(self, reason: Retry) -> None:
         """Count a failed try."""
         self._count("retries", reason)
 
-    def answer(self, status: int) -> None:
+    def count_response(self, status: int) -> None:
         """Count an answer by status; 0 stands for a caller that left."""
         self.count("answers", str(status))
 
@@ -59,14 +59,14 @@
     def _count(self, name: str, reason: Enum) -> None:
         self.count(name, reason.value)
 
-    def text(self) -> bytes:
+    def render(self) -> bytes:
         """Return everything in the Prometheus text format."""
         lines = []
         for name, labels in self._counters.items():
             lines.append(f"# TYPE hemlockhall_{name} counter")
             for label, count in labels.items():
                 lines.append(f'hemlockhall_{name}_total{{label="{label}"}} {count}')
-        for latency in (self.first_event, self.longest_pause, self.answer_time):
+        for latency in (self.first_event, self.longest_pause, self.response_time):
             lines += _summary(latency)
         return "\n".join(lines).encode() + b"\n"
 
--- a/packages/router/src/hemlockhall_router/process/outage.py
+++ b/packages/router/src/hemlockhall_router/process/outage.py
@@ -19,7 +19,7 @@
 RETURN_S = 2.2
 
 
-class Outage:
+class StoreOutage:
     """What this host's loss of the store says about missing entries.
 
     Parameters
@@ -40,15 +40,15 @@
         self._timing = timing
 
     @property
-    def steady(self) -> bool:
+    def store_stable(self) -> bool:
         """Whether this host has the store and has not lost it lately."""
         watch = self._watch
-        if not watch.reached or self._lost_lately():
+        if not watch.connected or self._lost_lately():
             return False
         # One that took over a moment ago cannot tell what was before.
         return time.monotonic() - watch.regained_at > STEADY_S
 
-    def deadline(self) -> float:
+    def grace_deadline(self) -> float:
         """Return the monotonic time until which entries may come back, or 0.
 
         Endpoints that could not reach the store while it was down lapse there
@@ -60,7 +60,7 @@
         watch = self._watch
         if self._others_steady():
             return 0.0
-        if not watch.reached:
+        if not watch.connected:
             return time.monotonic() + RETURN_S
         if not self._lost_lately():
             return 0.0
@@ -68,10 +68,12 @@
 
     def _lost_lately(self) -> bool:
         lost_at = self._watch.lost_at
-        return lost_at > 0.0 and time.monotonic() - lost_at <= self._timing.outage_s
+        return (
+            lost_at > 0.0 and time.monotonic() - lost_at <= self._timing.entry_grace_s
+        )
 
 
 __all__ = [
     "RETURN_S",
-    "Outage",
+    "StoreOutage",
 ]
--- a/packages/router/src/hemlockhall_router/process/planner.py
+++ b/packages/router/src/hemlockhall_router/process/planner.py
@@ -14,7 +14,7 @@
 import anyio
 from loguru import logger
 
-from hemlockhall_router.connection.error import WireError
+from hemlockhall_router.connection.error import TransportError
 from hemlockhall_router.process.dialect import DecodeError
 from hemlockhall_router.process.prober import call_endpoint
 from hemlockhall_router.version.layout import (
@@ -66,14 +66,14 @@
 class Pending:
     """An order that the endpoint does not show yet.
 
-    ``deadline`` has no bound until its turn comes. ``at_once`` tells that it gives
+    ``deadline`` has no bound until its turn comes. ``immediate`` tells that it gives
     layers up without waiting for the streams on them. ``follows`` is the number of
     orders that the endpoint had begun when this one was ``sent``.
     """
 
     layers: LayerRange
     deadline: float = float("inf")
-    at_once: bool = False
+    immediate: bool = False
     sent: bool = False
     follows: int = 0
 
@@ -158,7 +158,7 @@
                 continue
             # The whole plan counts as ordered at once: planned anew for the rest, a
             # copy that is ordered in part would look broken.
-            order = Pending(layers, at_once=at_once)
+            order = Pending(layers, immediate=at_once)
             endpoint = by_id[key]
             self._pending[endpoint.incarnation] = order
             group.start_soon(self._order, endpoint, order, model)
@@ -196,7 +196,7 @@
         if present - known:
             # All appear within one heartbeat, and a plan for half of them would
             # have to be redone.
-            self._settle_deadlines[service] = now + self._timing.settle_s
+            self._settle_deadlines[service] = now + self._timing.settle_time_s
         self._known[service] = present
         for incarnation in known - present:
             self._pending.pop(incarnation, None)
@@ -243,7 +243,7 @@
         """Give an order once; return whether its outcome is known."""
         try:
             report = await self._prober.report(endpoint)
-        except (WireError, DecodeError) as exc:
+        except (TransportError, DecodeError) as exc:
             self._end(endpoint, order, f"no report: {exc}")
             self._prober.request_probes([endpoint.id])
             return True
@@ -257,13 +257,16 @@
             self._end(endpoint, order, "busy")
             return True
         order.sent, order.follows = True, report.order_count
-        call = self._dialect.place_call(
-            order.layers, report.order_count, self._lease.fence, at_once=order.at_once
+        call = self._dialect.assign_layers_call(
+            order.layers,
+            report.order_count,
+            self._lease.fence,
+            immediate=order.immediate,
         )
         try:
             deadline = time.monotonic() + ORDER_S
             response = await call_endpoint(endpoint, call, deadline)
-        except WireError as exc:
+        except TransportError as exc:
             self._note(endpoint, order, f"no answer: {exc}")
             return False
         status = response.head.status
@@ -282,7 +285,7 @@
                 return
             try:
                 report = await self._prober.report(endpoint)
-            except (WireError, DecodeError):
+            except (TransportError, DecodeError):
                 self._prober.request_probes([endpoint.id])
                 return
             if not report.busy:
--- a/packages/router/src/hemlockhall_router/process/prober.py
+++ b/packages/router/src/hemlockhall_router/process/prober.py
@@ -9,9 +9,9 @@
 from loguru import logger
 
 from hemlockhall_router.connection.client import ClientConnection
-from hemlockhall_router.connection.error import WireError
-from hemlockhall_router.connection.message import request_text
-from hemlockhall_router.process.dialect import Call, DecodeError
+from hemlockhall_router.connection.error import TransportError
+from hemlockhall_router.connection.message import encode_request
+from hemlockhall_router.process.dialect import DecodeError, EndpointCall
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -50,15 +50,17 @@
 ROUND_MIN = 4
 
 
-async def call_endpoint(endpoint: Endpoint, call: Call, deadline: float) -> Response:
+async def call_endpoint(
+    endpoint: Endpoint, call: EndpointCall, deadline: float
+) -> Response:
     """Call an endpoint's own interface on a new connection."""
     host, port = endpoint.address
     conn = await ClientConnection.open(host, port, deadline)
     try:
         headers = [(b"Host", f"{host}:{port}".encode()), *call.headers]
-        text = request_text(call.method, call.target, headers, call.body)
+        text = encode_request(call.method, call.target, headers, call.body)
         await conn.send(text, deadline)
-        return await conn.whole(deadline)
+        return await conn.read_response(deadline)
     finally:
         await conn.close()
 
@@ -172,7 +174,7 @@
         deadline = began + patience_s
         try:
             report = await self.report(record.endpoint, patience_s)
-        except WireError:
+        except TransportError:
             late = time.monotonic() - deadline >= OWN_DELAY_S
             if not late and self._awake_at < began:
                 failed.append(key)
@@ -187,12 +189,12 @@
     async def report(
         self, endpoint: Endpoint, patience_s: float = PATIENT_S
     ) -> EndpointReport:
-        """Return an endpoint's state; raise ``WireError`` or ``DecodeError``."""
+        """Return an endpoint's state; raise ``TransportError`` or ``DecodeError``."""
         deadline = time.monotonic() + patience_s
         response = await call_endpoint(endpoint, self._dialect.report_call(), deadline)
         if response.head.status != 200:
             raise DecodeError(f"status {response.head.status}")
-        return self._dialect.report(response.body)
+        return self._dialect.decode_report(response.body)
 
 
 __all__ = [
--- a/packages/router/src/hemlockhall_router/process/router.py
+++ b/packages/router/src/hemlockhall_router/process/router.py
@@ -12,9 +12,9 @@
 from loguru import logger
 
 from hemlockhall_router.connection.caller import CallerLimits, CallerReader
-from hemlockhall_router.connection.error import CallerError, CallerGoneError
-from hemlockhall_router.connection.message import response_text
-from hemlockhall_router.connection.pool import Pool
+from hemlockhall_router.connection.error import CallerDisconnectedError, CallerError
+from hemlockhall_router.connection.message import encode_response_head
+from hemlockhall_router.connection.pool import ConnectionPool
 from hemlockhall_router.membership.exchange import Own
 from hemlockhall_router.membership.hosts import Hosts
 from hemlockhall_router.membership.message import Contact, Load
@@ -24,11 +24,11 @@
 from hemlockhall_router.process.chooser import Chooser
 from hemlockhall_router.process.dialect import DecodeError, load_dialect
 from hemlockhall_router.process.directory import Directory
-from hemlockhall_router.process.front import Front
+from hemlockhall_router.process.frontend import Frontend
 from hemlockhall_router.process.leadership import Leadership
 from hemlockhall_router.process.lease import Lease
 from hemlockhall_router.process.metric import Metrics
-from hemlockhall_router.process.outage import Outage
+from hemlockhall_router.process.outage import StoreOutage
 from hemlockhall_router.process.planner import Planner
 from hemlockhall_router.process.prober import Prober
 from hemlockhall_router.process.setting import SettingsError, load_settings
@@ -79,14 +79,14 @@
         self._boot = secrets.token_hex(4)
         host = settings.host
         self._dialect = load_dialect(host.dialect, host.dialect_module)
-        self._store = self._dialect.store(settings.store.address)
+        self._store = self._dialect.open_store(settings.store.address)
         self.routing: RoutingConfig | None = None
         self._timing = Timing(settings.bounds)
         own = Contact(
             host.name,
             settings.listen.hosts,
             host.data_centre,
-            host.power,
+            host.capacity,
             self._boot,
         )
         self.hosts = Hosts(
@@ -102,11 +102,11 @@
         )
         self._routes_watch = self._watch(Table.ROUTING, self._routing_changed)
         self._endpoints_watch = self._watch(Table.ENDPOINTS, self._endpoints_changed)
-        self._outage = Outage(
+        self._outage = StoreOutage(
             self._endpoints_watch, self.hosts.another_steady, self._timing
         )
         self.directory = Directory(
-            self._dialect.endpoint, self._outage.deadline, self._timing
+            self._dialect.decode_endpoint, self._outage.grace_deadline, self._timing
         )
         self.lease = Lease(self._store, host.name, self._boot)
         retry = settings.retry
@@ -120,7 +120,7 @@
         self._prober = Prober(self._dialect, self.directory, self.hosts.near)
         pipes = DataCentreLinks(self.hosts.sharers)
         chooser = Chooser(self.directory, host.data_centre, pipes, self.hosts.near)
-        self._pool = Pool()
+        self._pool = ConnectionPool()
         tools = Tools(
             self._dialect,
             self._pool,
@@ -131,7 +131,7 @@
             self._prober,
             pipes,
         )
-        self.front = Front(tools, lambda: self.routing)
+        self.frontend = Frontend(tools, lambda: self.routing)
         self.leadership = Leadership(self.lease, self.hosts)
         self._planner = Planner(
             self._dialect,
@@ -156,7 +156,7 @@
             self._group = group
             group.start_soon(self._signals)
             # Bound before this host can say that it is ready.
-            await group.start(self._listen, listen.callers, self.front.serve)
+            await group.start(self._listen, listen.callers, self.frontend.serve)
             await group.start(self._listen, listen.ready, self._serve_ready)
             group.start_soon(self._routes_watch.run)
             group.start_soon(self._endpoints_watch.run)
@@ -170,7 +170,7 @@
     def ready(self) -> bool:
         """Whether new connections should come here."""
         known = self._endpoints_watch.version > 0
-        return self.routing is not None and known and not self.front.leaving
+        return self.routing is not None and known and not self.frontend.leaving
 
     async def _listen(
         self,
@@ -190,13 +190,13 @@
         reader = CallerReader(stream, CallerLimits())
         try:
             while True:
-                head = await reader.next_head()
+                head = await reader.read_head()
                 if head is None:
                     return
-                await reader.body(time.monotonic() + 1.0)
+                await reader.read_body(time.monotonic() + 1.0)
                 await reader.send(self._state(head.path))
-                reader.done()
-        except (CallerError, CallerGoneError):
+                reader.finish_request()
+        except (CallerError, CallerDisconnectedError):
             return
         finally:
             with anyio.CancelScope(shield=True):
@@ -207,16 +207,16 @@
         if path == self._dialect.ready_path:
             status = 200 if self.ready else 503
         elif path == b"/metrics":
-            status, body = 200, self._metrics.text()
+            status, body = 200, self._metrics.render()
         headers = [(b"Content-Length", b"%d" % len(body))]
-        return response_text(status, b"", headers) + body
+        return encode_response_head(status, b"", headers) + body
 
     def _routing_changed(self, rows: list[Row]) -> None:
         for row in rows:
             if row.deleted:
                 continue
             try:
-                routing = self._dialect.routing(row.key, row.value)
+                routing = self._dialect.decode_routing(row.key, row.value)
             except DecodeError as exc:
                 logger.error("configuration cannot be read", cause=str(exc))
                 continue
@@ -262,9 +262,10 @@
                 down.append(record.key)
         return Own(
             fence=self.lease.fence,
-            steady=self._outage.steady,
-            leaving=self.front.leaving,
-            cut=self._routes_watch.cut or self._endpoints_watch.cut,
+            steady=self._outage.store_stable,
+            leaving=self.frontend.leaving,
+            cut=self._routes_watch.store_unreachable
+            or self._endpoints_watch.store_unreachable,
             loads=loads,
             down=down,
             shut=self.directory.presumed_draining_keys(),
@@ -285,7 +286,7 @@
             await anyio.sleep(UPKEEP_S)
             self.directory.process_deadlines()
             self.directory.set_remote_loads(self.hosts.loads())
-            await self._pool.sweep()
+            await self._pool.close_expired()
 
     async def _settings_watch(self) -> None:
         while True:
@@ -312,25 +313,25 @@
             async for signum in received:
                 if signum == signal.SIGHUP:
                     self._reload()
-                elif not self.front.leaving:
+                elif not self.frontend.leaving:
                     assert self._group is not None
                     self._group.start_soon(self.leave)
 
     async def leave(self) -> None:
         """Serve on until the balancer has noticed, then end."""
-        logger.info("leaving", open_requests=self.front.open_requests)
+        logger.info("leaving", open_requests=self.frontend.open_requests)
         began = time.monotonic()
         end = began + self._settings.leave.grace_s - END_MARGIN_S
-        self.front.leave(began + NOTICE_S, end)
+        self.frontend.leave(began + NOTICE_S, end)
         await self.leadership.resign()
         await anyio.sleep(max(0.0, began + NOTICE_S - time.monotonic()))
-        while self.front.open_requests and time.monotonic() < end:
-            self.front.close_idle()
+        while self.frontend.open_requests and time.monotonic() < end:
+            self.frontend.close_idle()
             await anyio.sleep(0.05)
-        self.front.close_idle()
+        self.frontend.close_idle()
         with anyio.move_on_after(RELEASE_S):
             await self.lease.release()
-        logger.info("end", open_requests=self.front.open_requests)
+        logger.info("end", open_requests=self.frontend.open_requests)
         assert self._group is not None
         self._group.cancel_scope.cancel()
 
--- a/packages/router/src/hemlockhall_router/process/setting.py
+++ b/packages/router/src/hemlockhall_router/process/setting.py
@@ -27,7 +27,7 @@
     link_mbps: float = 100.0
 
     @property
-    def power(self) -> int:
+    def capacity(self) -> int:
         """Rank among hosts, by what its processor and its link carry."""
         return round(self.cores * self.cpu_share * self.link_mbps)
 
--- a/packages/router/src/hemlockhall_router/process/store.py
+++ b/packages/router/src/hemlockhall_router/process/store.py
@@ -24,21 +24,21 @@
     """The store answered that it did nothing."""
 
 
-class StoreSilentError(StoreError):
+class StoreNoAnswerError(StoreError):
     """No answer came: a write may have been done, or may be done later."""
 
 
-class HistoryGoneError(StoreError):
+class HistoryCompactedError(StoreError):
     """The changes since the given version are no longer kept."""
 
 
-class ConditionError(StoreError):
+class VersionConflictError(StoreError):
     """A row had another version than the write expected."""
 
-    def __init__(self, row: Row | None, now_s: float) -> None:
+    def __init__(self, row: Row | None, store_time_s: float) -> None:
         super().__init__("the row has another version")
         self.row = row
-        self.now_s = now_s
+        self.store_time_s = store_time_s
 
 
 @dataclass(slots=True, frozen=True)
@@ -52,37 +52,37 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Page:
-    """Rows as of one version; ``now_s`` is the store's steady clock."""
+class ReadResult:
+    """Rows as of one version; ``store_time_s`` is the store's steady clock."""
 
     rows: tuple[Row, ...]
     version: int
-    now_s: float
+    store_time_s: float
 
 
 @dataclass(slots=True, frozen=True)
-class Written:
+class WriteResult:
     """An accepted write."""
 
     version: int
-    now_s: float
+    store_time_s: float
 
 
 class Store(ABC):
     """Calls of the store; each raises a ``StoreError`` if it fails."""
 
     @abstractmethod
-    async def read(self, table: Table, deadline: float) -> Page:
+    async def read(self, table: Table, deadline: float) -> ReadResult:
         """Return all rows of a table as of one version."""
 
     @abstractmethod
-    async def changes(self, table: Table, after: int, wait_s: float) -> Page:
+    async def changes(self, table: Table, after: int, wait_s: float) -> ReadResult:
         """Return the rows changed since a version, waiting for the first."""
 
     @abstractmethod
     async def write(
         self, table: Table, key: str, value: bytes, expected: int, deadline: float
-    ) -> Written:
+    ) -> WriteResult:
         """Write a row if it has the expected version (0: it does not exist)."""
 
     @abstractmethod
@@ -91,14 +91,14 @@
 
 
 __all__ = [
-    "ConditionError",
-    "HistoryGoneError",
-    "Page",
+    "VersionConflictError",
+    "HistoryCompactedError",
+    "ReadResult",
     "Row",
     "Store",
     "StoreError",
     "StoreRefusedError",
-    "StoreSilentError",
+    "StoreNoAnswerError",
     "Table",
-    "Written",
+    "WriteResult",
 ]
--- a/packages/router/src/hemlockhall_router/process/timing.py
+++ b/packages/router/src/hemlockhall_router/process/timing.py
@@ -53,62 +53,62 @@
     bounds: BoundsSection
 
     @property
-    def round_s(self) -> float:
+    def gossip_interval_s(self) -> float:
         """Between two rounds of messages between hosts."""
         return min(ROUND_S, self._config_s * ROUND_PART)
 
     @property
-    def dead_s(self) -> float:
+    def host_timeout_s(self) -> float:
         """Silence after which a host counts as dead."""
         return min(DEAD_S, self._config_s * DEAD_PART)
 
     @property
-    def stale_s(self) -> float:
+    def max_staleness_s(self) -> float:
         """Age of a copy from which a host asks the store itself."""
         return self._config_s * STALE_PART
 
     @property
-    def batch_s(self) -> float:
+    def debounce_s(self) -> float:
         """Pause after a change before the next call to the store."""
         return min(BATCH_S, self._config_s * BATCH_PART)
 
     @property
-    def feed_alone_s(self) -> float:
+    def long_poll_alone_s(self) -> float:
         """Wait of a call for changes while no other host is heard."""
         return self._config_s * FEED_ALONE_PARTS
 
     @property
-    def feed_s(self) -> float:
+    def long_poll_s(self) -> float:
         """Wait of a call for changes while others would pass changes on."""
         return self._config_s * FEED_WAIT_PARTS
 
     @property
-    def read_s(self) -> float:
+    def read_timeout_s(self) -> float:
         """Time for reading a whole table."""
         return min(READ_S, self._config_s * READ_PART)
 
     @property
-    def outage_s(self) -> float:
+    def entry_grace_s(self) -> float:
         """Time since losing the store that excuses missing entries."""
         return self.bounds.heartbeat_ms / 1000 * OUTAGE_BEATS
 
     @property
-    def settle_s(self) -> float:
+    def settle_time_s(self) -> float:
         """Time without a new endpoint before the first plan."""
         return self.bounds.heartbeat_ms / 1000 * SETTLE_BEATS
 
     @property
-    def move_s(self) -> float:
+    def move_delay_s(self) -> float:
         """Time after which the streams of a leaving endpoint go on elsewhere."""
         return min(MOVE_S, self._drain_s * MOVE_PART)
 
     @property
-    def move_again_s(self) -> float:
+    def move_interval_s(self) -> float:
         """Time between two groups of streams that go on elsewhere."""
         return min(MOVE_AGAIN_S, self._drain_s * MOVE_AGAIN_PART)
 
     @property
-    def ask_again_s(self) -> float:
+    def move_retry_s(self) -> float:
         """Time before a stream that found no room elsewhere is asked again."""
         return min(ASK_AGAIN_S, self._drain_s * ASK_AGAIN_PART)
 
--- a/packages/router/src/hemlockhall_router/process/watch.py
+++ b/packages/router/src/hemlockhall_router/process/watch.py
@@ -9,12 +9,12 @@
 import anyio
 from loguru import logger
 
-from hemlockhall_router.process.store import HistoryGoneError, Row, StoreError
+from hemlockhall_router.process.store import HistoryCompactedError, Row, StoreError
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from hemlockhall_router.process.store import Page, Store, Table
+    from hemlockhall_router.process.store import ReadResult, Store, Table
     from hemlockhall_router.process.timing import Timing
 
 # Seconds between tries while the store does not answer.
@@ -31,23 +31,23 @@
 TOMBSTONES = 512
 
 
-class Following(Protocol):
+class WatchPolicy(Protocol):
     """Whether and how this host follows the store."""
 
-    def wanted(self) -> bool:
+    def should_watch(self) -> bool:
         """Return whether this host should ask the store itself."""
 
-    def appointed(self) -> bool:
+    def is_store_watcher(self) -> bool:
         """Return whether others rely on what this host gets there."""
 
-    def wait_s(self) -> float:
+    def long_poll_s(self) -> float:
         """Return for how long one call for changes waits."""
 
 
 class Watch:
     """Rows of a table as of ``version``; only newer versions are taken.
 
-    ``changed`` is the version of the newest change, and ``confirmed_at`` the
+    ``last_change`` is the version of the newest change, and ``complete_as_of`` the
     monotonic time as of which the copy is known to be complete.
 
     Parameters
@@ -58,7 +58,7 @@
         The table.
     taken : callable
         Called with the changed rows after each step.
-    following : Following
+    following : WatchPolicy
         Whether this host asks the store.
     timing : Timing
         Times of calls.
@@ -69,7 +69,7 @@
         store: Store,
         table: Table,
         taken: Callable[[list[Row]], None],
-        following: Following,
+        following: WatchPolicy,
         timing: Timing,
     ) -> None:
         self._store = store
@@ -78,12 +78,12 @@
         self.table = table
         self._taken = taken
         self.version = 0
-        self.changed = 0
-        self.confirmed_at = float("-inf")
+        self.last_change = 0
+        self.complete_as_of = float("-inf")
         self.rows: dict[str, Row] = {}
         self._dead: dict[str, Row] = {}
         self._dead_floor = 0
-        self.reached = False
+        self.connected = False
         self.regained_at = 0.0
         self.lost_at = 0.0
 
@@ -92,8 +92,8 @@
         fresh = self.version > 0
         delay = RETRY_S
         while True:
-            if not self._following.wanted():
-                self.reached = False
+            if not self._following.should_watch():
+                self.connected = False
                 fresh = self.version > 0
                 await anyio.sleep(IDLE_S)
                 continue
@@ -104,52 +104,54 @@
                 else:
                     page = await self._changes()
                     if page.rows:
-                        await anyio.sleep(self._timing.batch_s)
+                        await anyio.sleep(self._timing.debounce_s)
                 delay = RETRY_S
-            except HistoryGoneError:
+            except HistoryCompactedError:
                 logger.info("history gone, reading anew", table=self.table.value)
                 fresh = False
             except StoreError as exc:
                 self._lose(exc)
                 await anyio.sleep(delay)
-                most = RETRY_MAX_S if self._following.appointed() else RETRY_IDLE_S
+                most = (
+                    RETRY_MAX_S if self._following.is_store_watcher() else RETRY_IDLE_S
+                )
                 delay = min(most, delay * 1.5)
 
-    async def _read(self) -> Page:
-        deadline = time.monotonic() + self._timing.read_s
+    async def _read(self) -> ReadResult:
+        deadline = time.monotonic() + self._timing.read_timeout_s
         page = await self._store.read(self.table, deadline)
         self._reach()
         self.replace(page.rows, page.version)
         return page
 
-    async def _changes(self) -> Page:
-        wait_s = self._following.wait_s() * random.uniform(WAIT_LEAST, 1.0)  # noqa: S311
+    async def _changes(self) -> ReadResult:
+        wait_s = self._following.long_poll_s() * random.uniform(WAIT_LEAST, 1.0)  # noqa: S311
         page = await self._store.changes(self.table, self.version, wait_s)
         self._reach()
         self.apply(page.rows, page.version)
         return page
 
     def _reach(self) -> None:
-        self.confirmed_at = time.monotonic()
-        if self.reached:
+        self.complete_as_of = time.monotonic()
+        if self.connected:
             return
-        self.reached = True
+        self.connected = True
         self.regained_at = time.monotonic()
         logger.info("store reached", table=self.table.value, version=self.version)
 
     def _lose(self, exc: StoreError) -> None:
         self.lost_at = time.monotonic()
-        if not self.reached:
+        if not self.connected:
             return
-        self.reached = False
+        self.connected = False
         logger.warning("store lost", table=self.table.value, cause=str(exc))
 
     @property
-    def cut(self) -> bool:
+    def store_unreachable(self) -> bool:
         """Whether the store turned this host away a moment ago."""
-        if self.reached or not self.lost_at:
+        if self.connected or not self.lost_at:
             return False
-        return time.monotonic() - self.lost_at < self._timing.outage_s
+        return time.monotonic() - self.lost_at < self._timing.entry_grace_s
 
     def confirm(self, changed: int, complete: int, at: float) -> bool:
         """Take another host's word on its copy; return whether this one lacks rows.
@@ -161,7 +163,7 @@
             return True
         if self.version > 0:
             self.version = max(self.version, complete)
-            self.confirmed_at = max(self.confirmed_at, at)
+            self.complete_as_of = max(self.complete_as_of, at)
         return False
 
     def apply(self, rows: tuple[Row, ...] | list[Row], version: int) -> None:
@@ -175,7 +177,7 @@
                 continue
             self._put(row)
             taken.append(row)
-            self.changed = max(self.changed, row.version)
+            self.last_change = max(self.last_change, row.version)
         self.version = version
         if taken:
             self._taken(taken)
@@ -203,7 +205,7 @@
             self._dead_floor = oldest.version
             del self._dead[oldest.key]
 
-    def since(self, version: int) -> tuple[bool, list[Row]]:
+    def changes_since(self, version: int) -> tuple[bool, list[Row]]:
         """Return whether all rows follow, and the rows changed since."""
         if version < self._dead_floor or version == 0:
             return True, list(self.rows.values())
@@ -214,6 +216,6 @@
 
 
 __all__ = [
-    "Following",
+    "WatchPolicy",
     "Watch",
 ]
--- a/packages/router/src/hemlockhall_router/request/attempt.py
+++ b/packages/router/src/hemlockhall_router/request/attempt.py
@@ -6,7 +6,11 @@
 from contextlib import contextmanager
 from typing import TYPE_CHECKING
 
-from hemlockhall_router.connection.error import NotSentError, SilentError, WireError
+from hemlockhall_router.connection.error import (
+    NotSentError,
+    ReadTimeoutError,
+    TransportError,
+)
 from hemlockhall_router.request.events import Splitter
 from hemlockhall_router.request.failure import TryFailedError, id_text
 from hemlockhall_router.request.plain import CONNECT_S
@@ -101,8 +105,8 @@
             deadline = patience.first_deadline()
         with self._faults():
             try:
-                data = await self.running.wait(self._conn.chunk, deadline)
-            except SilentError as exc:
+                data = await self.running.wait(self._conn.read_chunk, deadline)
+            except ReadTimeoutError as exc:
                 if self._work.left_s <= 0:
                     raise
                 # It may be dead or slow. Whoever can go on without it is asked
@@ -131,7 +135,9 @@
         assert self._conn is not None
         assert self.head is not None
         conn, self._conn = self._conn, None
-        await self._tools.pool.give(self.path.first_endpoint.address, conn, self.head)
+        await self._tools.pool.release(
+            self.path.first_endpoint.address, conn, self.head
+        )
 
     async def close(self) -> None:
         """End the run, wherever it is."""
@@ -143,7 +149,7 @@
         first = self.path.first_endpoint
         deadline = min(self._work.deadline, time.monotonic() + CONNECT_S)
         try:
-            self._conn = await self._tools.pool.connect(first.address, deadline)
+            self._conn = await self._tools.pool.acquire(first.address, deadline)
         except NotSentError as exc:
             self._tools.directory.record_failure(first.id, str(exc))
             raise TryFailedError(
@@ -160,22 +166,22 @@
         name = self._tools.dialect.headers.request_id
         while True:
             deadline = self._patience.first_deadline()
-            head = await self.running.wait(self._conn.head, deadline)
+            head = await self.running.wait(self._conn.read_head, deadline)
             echoed = head.header(name)
             if echoed is None or echoed == self._work.id:
                 return head
             # A late answer to an earlier request of this connection.
-            while await self._conn.chunk(deadline) is not None:
+            while await self._conn.read_chunk(deadline) is not None:
                 continue
 
     @contextmanager
     def _faults(self) -> Iterator[None]:
         try:
             yield
-        except WireError as exc:
+        except TransportError as exc:
             self._tools.prober.request_probes(self.ids)
             self._patience.grow()
-            silent = isinstance(exc, SilentError)
+            silent = isinstance(exc, ReadTimeoutError)
             raise TryFailedError(
                 Retry.SILENT if silent else Retry.BROKEN,
                 str(exc),
@@ -186,7 +192,7 @@
     def _judge(self, head: ResponseHead) -> None:
         """Raise ``TryFailedError`` unless the answer is a stream to relay."""
         names = self._tools.dialect.headers
-        not_run = head.header(names.not_run) is not None or head.status == 421
+        not_run = head.header(names.not_executed) is not None or head.status == 421
         if not_run:
             suspects = [self._blame(head)]
             cause = f"status {head.status}"
@@ -200,7 +206,9 @@
 
     def _blame(self, head: ResponseHead) -> str:
         """Note which endpoint of the path refused, and return its id."""
-        at_fault = id_text(head.header(self._tools.dialect.headers.at_fault) or b"")
+        at_fault = id_text(
+            head.header(self._tools.dialect.headers.failed_endpoint) or b""
+        )
         for part in self.path.stages:
             host, port = part.endpoint.address
             if at_fault != f"{host}:{port}":
--- a/packages/router/src/hemlockhall_router/request/plain.py
+++ b/packages/router/src/hemlockhall_router/request/plain.py
@@ -8,7 +8,11 @@
 from loguru import logger
 
 from hemlockhall_router.connection.client import ClientConnection
-from hemlockhall_router.connection.error import BrokenError, NotSentError, WireError
+from hemlockhall_router.connection.error import (
+    ConnectionLostError,
+    NotSentError,
+    TransportError,
+)
 from hemlockhall_router.request.failure import TryFailedError, id_text
 from hemlockhall_router.request.reason import Refusal, Retry
 from hemlockhall_router.request.work import Occupied, Tools, Work, outgoing
@@ -73,7 +77,7 @@
         """Note a failed try; return whether another one may follow."""
         work = self._work
         self._tried.add(record.endpoint.id)
-        self._tools.metrics.retry(again.reason)
+        self._tools.metrics.count_retry(again.reason)
         logger.info(
             "try failed",
             request=id_text(work.id),
@@ -98,7 +102,7 @@
         connect_deadline = min(work.deadline, time.monotonic() + CONNECT_S)
         try:
             if work.route.retryable:
-                conn = await tools.pool.connect(endpoint.address, connect_deadline)
+                conn = await tools.pool.acquire(endpoint.address, connect_deadline)
             else:
                 # A kept connection may be closed by the endpoint just as the
                 # request leaves; nobody could tell then whether it ran.
@@ -111,7 +115,7 @@
         try:
             with Occupied(tools.directory, [endpoint.id]):
                 response = await self._ask(conn, record)
-        except WireError as exc:
+        except TransportError as exc:
             silent = time.monotonic() - started > PATIENCE_FLOOR_S
             tools.directory.record_failure(endpoint.id, str(exc))
             reason = Retry.SILENT if silent else Retry.BROKEN
@@ -119,7 +123,7 @@
         finally:
             if not conn.reusable:
                 await conn.close()
-        await tools.pool.give(endpoint.address, conn, response.head)
+        await tools.pool.release(endpoint.address, conn, response.head)
         return self._judge(record, response, time.monotonic() - started)
 
     async def _ask(self, conn: ClientConnection, record: EndpointRecord) -> Response:
@@ -129,14 +133,14 @@
         deadline = self._patience(record)
         for _ in range(MAX_FOREIGN):
             bodiless = work.head.method == b"HEAD"
-            response = await conn.whole(deadline, bodiless=bodiless)
+            response = await conn.read_response(deadline, no_body=bodiless)
             echoed = response.head.header(tools.dialect.headers.request_id)
             if echoed is None or echoed == work.id:
                 return response
             # An answer to an earlier request of this connection came late; the
             # answer to this one follows it.
             logger.warning("foreign answer skipped", request=id_text(work.id))
-        raise BrokenError("only answers to other requests came")
+        raise ConnectionLostError("only answers to other requests came")
 
     def _patience(self, record: EndpointRecord) -> float:
         work = self._work
@@ -152,7 +156,7 @@
         names = self._tools.dialect.headers
         status = response.head.status
         key = record.endpoint.id
-        if response.head.header(names.not_run) is not None or status == 421:
+        if response.head.header(names.not_executed) is not None or status == 421:
             if status == 421:
                 self._tools.directory.record_failure(
                     key, "another endpoint has its address"
@@ -163,7 +167,7 @@
         if status < 300 and response.head.header(names.signature) is None:
             raise TryFailedError(Retry.FAILED, "no signature", ran=True)
         self._tools.directory.record_success(key, took_s)
-        self._tools.metrics.answer_time.record(took_s)
+        self._tools.metrics.response_time.record(took_s)
         if status >= 500 and self._work.route.retryable:
             cause = f"status {status}"
             raise TryFailedError(Retry.FAILED, cause, ran=True, response=response)
@@ -180,7 +184,7 @@
             refusal = Refusal.TIMEOUT if late else Refusal.UNCERTAIN
         elif late:
             refusal = Refusal.DEADLINE
-        self._tools.metrics.refusal(refusal)
+        self._tools.metrics.count_refusal(refusal)
         logger.warning(
             "request given up",
             request=id_text(work.id),
--- a/packages/router/src/hemlockhall_router/request/reply.py
+++ b/packages/router/src/hemlockhall_router/request/reply.py
@@ -5,9 +5,9 @@
 from typing import TYPE_CHECKING
 
 from hemlockhall_router.connection.message import (
-    REASONS,
-    forwardable,
-    response_text,
+    REASON_PHRASES,
+    encode_response_head,
+    end_to_end_headers,
 )
 
 if TYPE_CHECKING:
@@ -75,7 +75,7 @@
             headers.append((b"Retry-After", b"%.2f" % retry_after_s))
         if self._head.method == b"HEAD":
             body = b""
-        await self._send(status, REASONS.get(status, b""), headers, body)
+        await self._send(status, REASON_PHRASES.get(status, b""), headers, body)
         self.complete = True
 
     async def stream(self, head: ResponseHead) -> None:
@@ -100,11 +100,11 @@
         if self.close:
             headers.append(CLOSE)
         self.status = status
-        await self._reader.send(response_text(status, reason, headers) + body)
+        await self._reader.send(encode_response_head(status, reason, headers) + body)
 
 
 def _kept(headers: Headers) -> Headers:
-    kept = forwardable(headers)
+    kept = end_to_end_headers(headers)
     return [(key, value) for key, value in kept if key.lower() != b"content-length"]
 
 
--- a/packages/router/src/hemlockhall_router/request/stream.py
+++ b/packages/router/src/hemlockhall_router/request/stream.py
@@ -161,12 +161,12 @@
                 await new.begin(self._last_id)
             self._attempt = new
             self._note_run(old)
-            self._tools.metrics.retry(moved.reason)
+            self._tools.metrics.count_retry(moved.reason)
             self._log_broken(old, moved.reason, str(moved))
         except (TryFailedError, TimeoutError, MovedError) as exc:
             if not isinstance(exc, TryFailedError) or exc.ran:
                 self._note_run(new)
-            self._tools.metrics.retry(Retry.STAYED)
+            self._tools.metrics.count_retry(Retry.STAYED)
             self._log_broken(new, Retry.STAYED, str(exc) or "no answer in time")
         finally:
             await (old if self._attempt is new else new).close()
@@ -218,7 +218,7 @@
         """Note a failed try; return whether another one may follow."""
         work, attempt = self._work, self._attempt
         assert attempt is not None
-        self._tools.metrics.retry(again.reason)
+        self._tools.metrics.count_retry(again.reason)
         self._log_broken(attempt, again.reason, str(again))
         self._avoid.update(again.suspects)
         if again.reason is not Retry.NOT_SENT:
@@ -335,7 +335,7 @@
             refusal = Refusal.ENDPOINTS_FULL
         else:
             refusal = Refusal.DEADLINE if late else Refusal.NO_PATH
-        self._tools.metrics.refusal(refusal)
+        self._tools.metrics.count_refusal(refusal)
         logger.warning(
             "stream given up",
             request=id_text(work.id),
--- a/packages/router/src/hemlockhall_router/request/work.py
+++ b/packages/router/src/hemlockhall_router/request/work.py
@@ -6,15 +6,15 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from hemlockhall_router.connection.message import forwardable, request_text
+from hemlockhall_router.connection.message import encode_request, end_to_end_headers
 
 if TYPE_CHECKING:
     from hemlockhall_router.connection.message import Headers, RequestHead
-    from hemlockhall_router.connection.pool import Pool
+    from hemlockhall_router.connection.pool import ConnectionPool
     from hemlockhall_router.policy.data_centre_link import DataCentreLinks
     from hemlockhall_router.process.budget import RetryBudget
     from hemlockhall_router.process.chooser import Chooser
-    from hemlockhall_router.process.dialect import Dialect, Tokens
+    from hemlockhall_router.process.dialect import Dialect, TokenCounts
     from hemlockhall_router.process.directory import Directory, EndpointRecord
     from hemlockhall_router.process.metric import Metrics
     from hemlockhall_router.process.prober import Prober
@@ -32,7 +32,7 @@
     """What a relay uses of the process."""
 
     dialect: Dialect
-    pool: Pool
+    pool: ConnectionPool
     directory: Directory
     chooser: Chooser
     budget: RetryBudget
@@ -52,13 +52,13 @@
     customer: Customer | None
     id: bytes
     deadline: float
-    tokens: Tokens | None = None
+    tokens: TokenCounts | None = None
 
     @property
     def size(self) -> int:
         """Tokens for which it takes memory at most, or what is usual."""
         if self.tokens is not None:
-            return self.tokens.prompt + self.tokens.answer
+            return self.tokens.prompt + self.tokens.max_output
         model = self.service.model
         return (
             round(model.typical_prompt_tokens + model.typical_output_tokens)
@@ -92,14 +92,14 @@
         names.deadline_ms,
         names.expected_endpoint,
         names.path,
-        names.urgency,
-        names.not_run,
-        names.at_fault,
+        names.priority,
+        names.not_executed,
+        names.failed_endpoint,
     }
     if resume_after is not None:
         ours.add(names.resume_after)
     headers: Headers = []
-    for key, value in forwardable(work.head.headers):
+    for key, value in end_to_end_headers(work.head.headers):
         if key.lower() not in ours:
             headers.append((key, value))
     left_ms = max(1, int((work.left_s - WAY_S) * 1000))
@@ -108,10 +108,10 @@
     if work.customer is not None:
         headers.append((names.customer, work.customer.name.encode()))
     if path is not None:
-        headers.append((names.path, dialect.path_text(path)))
+        headers.append((names.path, dialect.encode_path(path)))
     if resume_after is not None:
         headers.append((names.resume_after, resume_after))
-    return request_text(work.head.method, work.head.target, headers, work.body)
+    return encode_request(work.head.method, work.head.target, headers, work.body)
 
 
 class Occupied:
--- a/packages/standins/src/hemlockhall_standins/router/dialect.py
+++ b/packages/standins/src/hemlockhall_standins/router/dialect.py
@@ -9,11 +9,11 @@
 
 from hemlockhall_router.connection.caller import CallerLimits
 from hemlockhall_router.process.dialect import (
-    Call,
     DecodeError,
     Dialect,
+    EndpointCall,
     HeaderNames,
-    Tokens,
+    TokenCounts,
     dialect,
 )
 from hemlockhall_router.version.endpoint import Endpoint, EndpointReport, LayerRange
@@ -138,20 +138,20 @@
         customer=b"customer",
         expected_endpoint=b"expected-endpoint",
         endpoint_id=b"endpoint-id",
-        not_run=b"not-run",
+        not_executed=b"not-run",
         signature=b"signature",
         path=b"path",
-        at_fault=b"at-fault",
+        failed_endpoint=b"at-fault",
         resume_after=b"resume-after",
-        urgency=b"urgency",
+        priority=b"urgency",
     )
     ready_path = b"/ready"
 
-    def store(self, address: str) -> Store:
+    def open_store(self, address: str) -> Store:
         """Return the store that ``new_store`` made, or an empty one."""
         return STORES.setdefault(address, MemoryStore())
 
-    def routing(self, key: str, value: bytes) -> RoutingConfig | None:
+    def decode_routing(self, key: str, value: bytes) -> RoutingConfig | None:
         """Decode a ``RoutingRow``."""
         try:
             row = msgspec.json.decode(value, type=RoutingRow)
@@ -171,7 +171,7 @@
             routing.customers[name.encode()] = Customer(customer)
         return routing
 
-    def endpoint(self, key: str, value: bytes) -> Endpoint | None:
+    def decode_endpoint(self, key: str, value: bytes) -> Endpoint | None:
         """Decode an ``EndpointRow``."""
         try:
             row = msgspec.json.decode(value, type=EndpointRow)
@@ -191,22 +191,22 @@
             layers=LayerRange(*row.layers) if row.layers else None,
         )
 
-    def tokens(self, head: RequestHead) -> Tokens | None:
+    def decode_token_counts(self, head: RequestHead) -> TokenCounts | None:
         """Tests state no sizes."""
         return None
 
-    def path_text(self, path: Path) -> bytes:
+    def encode_path(self, path: Path) -> bytes:
         """Encode a path as ids with layers."""
         parts = []
         for part in path.stages:
             parts.append(f"{part.endpoint.id}:{part.layers.first}-{part.layers.end}")
         return " ".join(parts).encode()
 
-    def report_call(self) -> Call:
+    def report_call(self) -> EndpointCall:
         """Return the call for an endpoint's state."""
-        return Call(b"GET", b"/state", [])
+        return EndpointCall(b"GET", b"/state", [])
 
-    def report(self, body: bytes) -> EndpointReport:
+    def decode_report(self, body: bytes) -> EndpointReport:
         """Decode a ``ReportRow``."""
         try:
             row = msgspec.json.decode(body, type=ReportRow)
@@ -215,16 +215,18 @@
         layers = LayerRange(*row.layers) if row.layers else None
         return EndpointReport(row.busy, row.orders, 0, 0, 0, 0, layers, row.born)
 
-    def place_call(
-        self, layers: LayerRange, orders: int, fence: int, *, at_once: bool
-    ) -> Call:
+    def assign_layers_call(
+        self, layers: LayerRange, orders: int, fence: int, *, immediate: bool
+    ) -> EndpointCall:
         """Encode an ``OrderRow``."""
-        row = OrderRow((layers.first, layers.end), orders, fence, at_once)
-        return Call(b"POST", b"/hold", [], msgspec.json.encode(row))
+        row = OrderRow((layers.first, layers.end), orders, fence, immediate)
+        return EndpointCall(b"POST", b"/hold", [], msgspec.json.encode(row))
 
-    def repath_call(self, request_id: bytes, path: Path) -> Call:
+    def reroute_call(self, request_id: bytes, path: Path) -> EndpointCall:
         """Tests give no such order yet."""
-        return Call(b"POST", b"/move", [], request_id + b" " + self.path_text(path))
+        return EndpointCall(
+            b"POST", b"/move", [], request_id + b" " + self.encode_path(path)
+        )
 
 
 def _route(entry: RouteRow) -> Route:
--- a/packages/standins/src/hemlockhall_standins/router/endpoint.py
+++ b/packages/standins/src/hemlockhall_standins/router/endpoint.py
@@ -13,7 +13,7 @@
 from anyio.abc import SocketAttribute
 
 from hemlockhall_router.connection.caller import CallerLimits, CallerReader
-from hemlockhall_router.connection.error import CallerGoneError
+from hemlockhall_router.connection.error import CallerDisconnectedError
 from hemlockhall_standins.router.dialect import OrderRow, ReportRow
 
 if TYPE_CHECKING:
@@ -140,16 +140,16 @@
             async with stream:
                 while await self._request(stream, reader):
                     continue
-        except (CallerGoneError, anyio.BrokenResourceError):
+        except (CallerDisconnectedError, anyio.BrokenResourceError):
             self.left += 1
         except anyio.ClosedResourceError:
             return
 
     async def _request(self, stream: SocketStream, reader: CallerReader) -> bool:
-        head = await reader.next_head()
+        head = await reader.read_head()
         if head is None:
             return False
-        body = await reader.body(float("inf"))
+        body = await reader.read_body(float("inf"))
         arrival = Arrival(head, body, stream, reader, self)
         if head.target == b"/state":
             await arrival.answer(body=msgspec.json.encode(self.state))
@@ -160,7 +160,7 @@
             await self.script(arrival)
         if arrival.ended:
             return False
-        reader.done()
+        reader.finish_request()
         return True
 
     async def _hold(self, arrival: Arrival) -> None:
@@ -168,7 +168,7 @@
         if self.late_orders:
             self.late_orders -= 1
             self.waiting.append(order)
-            await arrival.reader.watch()
+            await arrival.reader.wait_disconnect()
             arrival.ended = True
             return
         await arrival.answer(202 if self._begin(order) else 409)
--- a/packages/standins/src/hemlockhall_standins/router/hall.py
+++ b/packages/standins/src/hemlockhall_standins/router/hall.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from hemlockhall_router.connection.client import ClientConnection
-from hemlockhall_router.connection.message import Response, request_text
+from hemlockhall_router.connection.message import Response, encode_request
 from hemlockhall_router.process.metric import Metrics
 from hemlockhall_router.process.router import Router
 from hemlockhall_router.process.setting import (
@@ -155,7 +155,7 @@
             deadline = time.monotonic() + WAIT_S
             text = caller_text(target, method, body, headers, request_id)
             await conn.send(text, deadline)
-            return await conn.whole(deadline, bodiless=method == "HEAD")
+            return await conn.read_response(deadline, no_body=method == "HEAD")
         finally:
             await conn.close()
 
@@ -171,7 +171,7 @@
     pairs = [(b"Host", HOST.encode()), (b"Request-Id", request_id.encode())]
     for key, value in (headers or {}).items():
         pairs.append((key.encode(), value.encode()))
-    return request_text(method.encode(), target.encode(), pairs, body)
+    return encode_request(method.encode(), target.encode(), pairs, body)
 
 
 @asynccontextmanager
--- a/packages/standins/src/hemlockhall_standins/router/network.py
+++ b/packages/standins/src/hemlockhall_standins/router/network.py
@@ -83,13 +83,15 @@
         if not self.alive:
             return
         self.exchange.round()
-        self.network.after(self.network.timing.round_s, self.round)
+        self.network.after(self.network.timing.gossip_interval_s, self.round)
 
     def look(self) -> None:
         """Ask the store if this host should, again and again."""
         if not self.alive:
             return
-        stale = self.network.now - self.confirmed_at > self.network.timing.stale_s
+        stale = (
+            self.network.now - self.confirmed_at > self.network.timing.max_staleness_s
+        )
         if self.exchange.follows() or stale:
             self.cut = self.store_cut
             if not self.cut:
--- a/packages/standins/src/hemlockhall_standins/router/store.py
+++ b/packages/standins/src/hemlockhall_standins/router/store.py
@@ -9,15 +9,15 @@
 import anyio
 
 from hemlockhall_router.process.store import (
-    ConditionError,
-    HistoryGoneError,
-    Page,
+    HistoryCompactedError,
+    ReadResult,
     Row,
     Store,
+    StoreNoAnswerError,
     StoreRefusedError,
-    StoreSilentError,
     Table,
-    Written,
+    VersionConflictError,
+    WriteResult,
 )
 
 POLL_S = 0.005
@@ -62,42 +62,42 @@
         self.history.clear()
         self.history_from = self.version
 
-    async def read(self, table: Table, deadline: float) -> Page:
+    async def read(self, table: Table, deadline: float) -> ReadResult:
         """Return all rows."""
         self._check()
         self.reads += 1
         rows = tuple(self.tables[table].values())
-        return Page(rows, self.version, time.monotonic())
+        return ReadResult(rows, self.version, time.monotonic())
 
-    async def changes(self, table: Table, after: int, wait_s: float) -> Page:
+    async def changes(self, table: Table, after: int, wait_s: float) -> ReadResult:
         """Return the changed rows."""
         deadline = time.monotonic() + wait_s
         while True:
             self._check()
             if after < self.history_from:
-                raise HistoryGoneError("forgotten")
+                raise HistoryCompactedError("forgotten")
             rows = []
             for name, row in self.history:
                 if name is table and row.version > after and not self.mute:
                     rows.append(row)
             if rows or time.monotonic() >= deadline:
                 version = after if self.mute else self.version
-                return Page(tuple(rows), version, time.monotonic())
+                return ReadResult(tuple(rows), version, time.monotonic())
             await anyio.sleep(POLL_S)
 
     async def write(
         self, table: Table, key: str, value: bytes, expected: int, deadline: float
-    ) -> Written:
+    ) -> WriteResult:
         """Write a row under a condition."""
         self._check()
         held = self.tables[table].get(key)
         if (held.version if held else 0) != expected:
-            raise ConditionError(held, time.monotonic())
+            raise VersionConflictError(held, time.monotonic())
         version = self.put(table, key, value)
         if self.lose_writes:
             self.lose_writes -= 1
-            raise StoreSilentError("the answer was lost")
-        return Written(version, time.monotonic())
+            raise StoreNoAnswerError("the answer was lost")
+        return WriteResult(version, time.monotonic())
 
     async def close(self) -> None:
         """Nothing is open."""
--- a/tests/platform/test_dialect.py
+++ b/tests/platform/test_dialect.py
@@ -99,7 +99,7 @@
 
 class TestConfiguration:
     def test_routes_services_limits_and_customers(self) -> None:
-        routing = DIALECT.routing("config", encode(CONFIGURATION))
+        routing = DIALECT.decode_routing("config", encode(CONFIGURATION))
         assert routing is not None
         head = RequestHead(b"POST", b"/a/x?y", [(b"Host", b"HALL.example:80")])
         route = routing.match(head)
@@ -133,22 +133,22 @@
 
     def test_without_customers_no_key_is_wanted(self) -> None:
         entry = {key: CONFIGURATION[key] for key in ("version", "routes", "services")}
-        routing = DIALECT.routing("config", encode(entry))
+        routing = DIALECT.decode_routing("config", encode(entry))
         assert routing is not None
         assert not routing.keys_required
 
     def test_other_rows_hold_none(self) -> None:
-        assert DIALECT.routing("else", b"{}") is None
+        assert DIALECT.decode_routing("else", b"{}") is None
 
     @pytest.mark.parametrize("value", [b"", b"\xff", b"[]", b'{"version": "x"}'])
     def test_unreadable_bytes_are_an_error(self, value: bytes) -> None:
         with pytest.raises(DecodeError):
-            DIALECT.routing("config", value)
+            DIALECT.decode_routing("config", value)
 
 
 class TestEndpoints:
     def test_an_entry_names_an_endpoint(self) -> None:
-        endpoint = DIALECT.endpoint("i-1", encode(SERVER))
+        endpoint = DIALECT.decode_endpoint("i-1", encode(SERVER))
         assert endpoint is not None
         assert endpoint.address == ("10.128.0.9", 8080)
         assert endpoint.layers == LayerRange(0, 4)
@@ -169,12 +169,12 @@
         ],
     )
     def test_strange_entries_name_none(self, change: dict) -> None:
-        assert DIALECT.endpoint("i-1", encode({**SERVER, **change})) is None
+        assert DIALECT.decode_endpoint("i-1", encode({**SERVER, **change})) is None
 
     @pytest.mark.parametrize("field", ["service", "address", "state", "zone"])
     def test_entries_with_a_field_missing_name_none(self, field: str) -> None:
         entry = {key: value for key, value in SERVER.items() if key != field}
-        assert DIALECT.endpoint("i-1", encode(entry)) is None
+        assert DIALECT.decode_endpoint("i-1", encode(entry)) is None
 
     def test_a_report(self) -> None:
         body = {
@@ -187,12 +187,12 @@
             "layers": {"from": 1, "to": 2, "version": 1},
             "stalled": [{"id": "r1", "address": "10.0.0.1:1"}],
         }
-        report = DIALECT.report(encode(body))
+        report = DIALECT.decode_report(encode(body))
         assert (report.busy, report.order_count, report.slowdown) == (True, 2, 3.0)
         assert report.layers == LayerRange(1, 2)
         assert report.stalled == ("r1",)
         with pytest.raises(DecodeError):
-            DIALECT.report(b"no")
+            DIALECT.decode_report(b"no")
 
 
 class TestCalls:
@@ -200,11 +200,11 @@
         first = Endpoint("i-1", "pool", "10.1.64.9", 8080, "a")
         second = Endpoint("i-2", "pool", "10.2.64.3", 8081, "b")
         parts = (Stage(first, LayerRange(0, 20)), Stage(second, LayerRange(20, 80)))
-        text = DIALECT.path_text(Path(parts, 1.0))
+        text = DIALECT.encode_path(Path(parts, 1.0))
         assert text == b"10.1.64.9:8080=0-20,10.2.64.3:8081=20-80"
 
     def test_an_order_names_the_orders_before(self) -> None:
-        call = DIALECT.place_call(LayerRange(20, 31), 4, 0, at_once=False)
+        call = DIALECT.assign_layers_call(LayerRange(20, 31), 4, 0, immediate=False)
         body = msgspec.json.decode(call.body)
         assert body == {
             "operation": "place",
@@ -213,7 +213,7 @@
             "mode": "queue",
             "precondition": 4,
         }
-        call = DIALECT.place_call(LayerRange(0, 1), 0, 9, at_once=True)
+        call = DIALECT.assign_layers_call(LayerRange(0, 1), 0, 9, immediate=True)
         body = msgspec.json.decode(call.body)
         assert body["fence"] == 9
         assert body["mode"] == "cutover"
@@ -221,8 +221,11 @@
     def test_token_counts(self) -> None:
         name = b"X-Hemlockhall-Token-Counts"
         head = RequestHead(b"POST", b"/", [(name, b"1460,80")])
-        tokens = DIALECT.tokens(head)
+        tokens = DIALECT.decode_token_counts(head)
         assert tokens is not None
-        assert (tokens.prompt, tokens.answer) == (1460, 80)
-        assert DIALECT.tokens(RequestHead(b"POST", b"/", [(name, b"x")])) is None
-        assert DIALECT.tokens(RequestHead(b"POST", b"/", [])) is None
+        assert (tokens.prompt, tokens.max_output) == (1460, 80)
+        assert (
+            DIALECT.decode_token_counts(RequestHead(b"POST", b"/", [(name, b"x")]))
+            is None
+        )
+        assert DIALECT.decode_token_counts(RequestHead(b"POST", b"/", [])) is None
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -17,11 +17,11 @@
 from hemlockhall_platform.store import PlatformStore
 from hemlockhall_router.connection.caller import CallerLimits, CallerReader
 from hemlockhall_router.process.store import (
-    ConditionError,
-    HistoryGoneError,
+    HistoryCompactedError,
+    StoreNoAnswerError,
     StoreRefusedError,
-    StoreSilentError,
     Table,
+    VersionConflictError,
 )
 
 pytestmark = pytest.mark.anyio
@@ -46,8 +46,8 @@
     async def serve(self, stream: SocketStream) -> None:
         reader = CallerReader(stream, CallerLimits())
         async with stream:
-            while (head := await reader.next_head()) is not None:
-                body = await reader.body(deadline())
+            while (head := await reader.read_head()) is not None:
+                body = await reader.read_body(deadline())
                 target = urlsplit(head.target.decode())
                 query = {key: value[0] for key, value in parse_qs(target.query).items()}
                 self.calls.append((target.path, query, json.loads(body or b"{}")))
@@ -59,7 +59,7 @@
                 length = f"Content-Length: {len(text)}"
                 head_text = f"HTTP/1.1 {status} X\r\n{length}\r\n\r\n"
                 await stream.send(head_text.encode() + text)
-                reader.done()
+                reader.finish_request()
 
 
 @asynccontextmanager
@@ -84,7 +84,7 @@
         async with scripted((200, first), (200, second)) as (store, made):
             page = await store.read(Table.ENDPOINTS, deadline())
             assert [held.key for held in page.rows] == ["a", "b", "c"]
-            assert (page.version, page.now_s) == (6, 2.5)
+            assert (page.version, page.store_time_s) == (6, 2.5)
             assert made.calls[0][1] == {"table": "servers"}
             assert made.calls[1][1]["from"] == "b\0"
 
@@ -99,7 +99,7 @@
 
     async def test_lost_history(self) -> None:
         async with scripted((410, {})) as (store, _):
-            with pytest.raises(HistoryGoneError):
+            with pytest.raises(HistoryCompactedError):
                 await store.changes(Table.ROUTING, 5, 1.0)
 
     @pytest.mark.parametrize("status", [429, 503])
@@ -122,7 +122,7 @@
     async def test_another_version_is_told(self) -> None:
         held = {"rows": [row("k", b"you", 9)], "ver": 11, "nowMs": 5}
         async with scripted((412, held)) as (store, _):
-            with pytest.raises(ConditionError) as caught:
+            with pytest.raises(VersionConflictError) as caught:
                 await store.write(Table.LEASE, "k", b"me", 7, deadline())
             assert caught.value.row is not None
             assert (caught.value.row.value, caught.value.row.version) == (b"you", 9)
@@ -131,7 +131,7 @@
         """The connection ends after the call was sent: the write may have been
         done, or may be done later. The next call uses a new connection."""
         async with scripted(None, (200, {"ver": 3})) as (store, _):
-            with pytest.raises(StoreSilentError):
+            with pytest.raises(StoreNoAnswerError):
                 await store.write(Table.LEASE, "k", b"me", 0, deadline())
             assert (await store.write(Table.LEASE, "k", b"me", 0, deadline())).version
 
--- a/tests/router/test_caller.py
+++ b/tests/router/test_caller.py
@@ -26,7 +26,7 @@
     try:
         deadline = time.monotonic() + 20
         await conn.send(data, deadline)
-        return (await conn.whole(deadline)).head.status
+        return (await conn.read_response(deadline)).head.status
     finally:
         await conn.close()
 
@@ -60,8 +60,8 @@
             text = caller_text("/read/x", "POST", b"one", request_id="1")
             text += caller_text("/read/x", "POST", b"two", request_id="2")
             await conn.send(text, deadline)
-            assert (await conn.whole(deadline)).body == b"one"
-            assert (await conn.whole(deadline)).body == b"two"
+            assert (await conn.read_response(deadline)).body == b"one"
+            assert (await conn.read_response(deadline)).body == b"two"
             await conn.close()
 
 
@@ -94,7 +94,7 @@
                 deadline = time.monotonic() + 20
                 lines = b"Deadline-Ms: 300\r\nContent-Length: 1000\r\n\r\n"
                 await conn.send(READ + lines, deadline)
-                statuses.append((await conn.whole(deadline)).head.status)
+                statuses.append((await conn.read_response(deadline)).head.status)
                 await conn.close()
 
             async with anyio.create_task_group() as group:
--- a/tests/router/test_client.py
+++ b/tests/router/test_client.py
@@ -11,7 +11,7 @@
 from anyio.abc import SocketAttribute, SocketStream
 
 from hemlockhall_router.connection.client import ClientConnection
-from hemlockhall_router.connection.error import BrokenError, NoHttpError
+from hemlockhall_router.connection.error import ConnectionLostError, ProtocolError
 
 pytestmark = pytest.mark.anyio
 
@@ -59,9 +59,9 @@
         late = answer(1, b"late", 503)
         due = answer(2, b"0123456789")
         async with server(late + due[:-5], due[-5:]) as conn:
-            first = await conn.whole(deadline())
+            first = await conn.read_response(deadline())
             assert (first.head.status, first.body) == (503, b"late")
-            second = await conn.whole(deadline())
+            second = await conn.read_response(deadline())
             assert second.head.header(b"number") == b"2"
             assert (second.head.status, second.body) == (200, b"0123456789")
 
@@ -72,48 +72,48 @@
         The connection looked idle and was never closed, so the endpoint went
         on with a request that nobody waited for."""
         async with server(answer(1, b"late")) as conn:
-            await conn.whole(deadline())
-            with pytest.raises(BrokenError):
-                await conn.head(time.monotonic() + 0.1)
+            await conn.read_response(deadline())
+            with pytest.raises(ConnectionLostError):
+                await conn.read_head(time.monotonic() + 0.1)
             assert not conn.reusable
 
     async def test_a_second_answer_makes_the_connection_unusable(self) -> None:
         async with server(answer(1, b"one") + answer(1, b"two")) as conn:
-            assert (await conn.whole(deadline())).body == b"one"
+            assert (await conn.read_response(deadline())).body == b"one"
             assert not conn.reusable
 
     async def test_an_answer_in_small_pieces(self) -> None:
         text = answer(1, b"0123456789")
         pieces = [text[n : n + 7] for n in range(0, len(text), 7)]
         async with server(*pieces) as conn:
-            assert (await conn.whole(deadline())).body == b"0123456789"
+            assert (await conn.read_response(deadline())).body == b"0123456789"
             assert conn.reusable
 
     async def test_an_interim_answer_is_not_the_answer(self) -> None:
         interim = b"HTTP/1.1 100 Continue\r\n\r\n"
         async with server(interim, answer(1, b"one")) as conn:
-            response = await conn.whole(deadline())
+            response = await conn.read_response(deadline())
             assert (response.head.status, response.body) == (200, b"one")
             assert conn.reusable
 
     async def test_bytes_that_are_no_answer(self) -> None:
         async with server(b"\x00\x01garbage\r\n\r\n") as conn:
-            with pytest.raises(NoHttpError):
-                await conn.whole(deadline())
+            with pytest.raises(ProtocolError):
+                await conn.read_response(deadline())
 
     async def test_spoilt_bytes_after_a_whole_answer(self) -> None:
         async with server(answer(1, b"one") + b"\x00\x01garbage") as conn:
-            assert (await conn.whole(deadline())).body == b"one"
+            assert (await conn.read_response(deadline())).body == b"one"
             assert not conn.reusable
 
     async def test_a_cut_chunk_is_not_an_end(self) -> None:
         head = b"HTTP/1.1 200 X\r\ntransfer-encoding: chunked\r\n\r\n"
         async with server(head + b"5\r\nabc", reset=True) as conn:
-            with pytest.raises(BrokenError):
-                await conn.whole(deadline())
+            with pytest.raises(ConnectionLostError):
+                await conn.read_response(deadline())
 
     async def test_an_answer_to_head_has_no_body(self) -> None:
         head = b"HTTP/1.1 200 X\r\ncontent-length: 9\r\n\r\n"
         async with server(head) as conn:
-            assert (await conn.whole(deadline(), bodiless=True)).body == b""
+            assert (await conn.read_response(deadline(), no_body=True)).body == b""
             assert not conn.reusable
--- a/tests/router/test_directory.py
+++ b/tests/router/test_directory.py
@@ -29,7 +29,9 @@
 
 @pytest.fixture()
 def directory() -> Directory:
-    made = Directory(StandinDialect().endpoint, lambda: 0.0, Timing(BoundsSection()))
+    made = Directory(
+        StandinDialect().decode_endpoint, lambda: 0.0, Timing(BoundsSection())
+    )
     value = msgspec.json.encode(EndpointRow("pool", 1))
     made.apply_rows([Row("p1", value, 1)])
     return made
--- a/tests/router/test_log.py
+++ b/tests/router/test_log.py
@@ -64,7 +64,7 @@
 
 def left_out_lines(metrics: Metrics) -> int:
     """Return the counter of lines that were left out."""
-    for line in metrics.text().decode().splitlines():
+    for line in metrics.render().decode().splitlines():
         if line.startswith("hemlockhall_log_lines_left_out_total"):
             return int(float(line.split()[-1]))
     raise AssertionError("no counter")
--- a/tests/router/test_plain.py
+++ b/tests/router/test_plain.py
@@ -244,7 +244,7 @@
 
         async def slow(arrival: Arrival) -> None:
             started.set()
-            await arrival.reader.watch()
+            await arrival.reader.wait_disconnect()
             arrival.endpoint.left += 1
             arrival.ended = True
 
--- a/tests/router/test_planner.py
+++ b/tests/router/test_planner.py
@@ -137,7 +137,7 @@
             pool = await laid_out(h, 4)
             holder = h.routers[0]
             h.group.start_soon(holder.leave)
-            await h.until(lambda: holder.front.leaving)
+            await h.until(lambda: holder.frontend.leaving)
             lost = pool.pop(1)
             lost.stop()
             h.enter(lost, "pool", draining=True, accelerator="small")
--- a/tests/router/test_pool.py
+++ b/tests/router/test_pool.py
@@ -7,7 +7,7 @@
 
 from hemlockhall_router.connection.client import ClientConnection
 from hemlockhall_router.connection.message import ResponseHead
-from hemlockhall_router.connection.pool import Pool
+from hemlockhall_router.connection.pool import ConnectionPool
 
 pytestmark = pytest.mark.anyio
 
@@ -22,7 +22,7 @@
         self.idle_deadline = 0.0
         self.sound = True
 
-    def quiet(self) -> bool:
+    def is_usable(self) -> bool:
         return self.sound
 
     async def close(self) -> None:
@@ -34,13 +34,13 @@
         """Two idle connections were ended by the endpoint. While the first is
         being closed, a request looks for an idle one and removes the second;
         the sweep then found it missing and ended the process."""
-        pool = Pool()
+        pool = ConnectionPool()
         conns = [SlowlyClosed(), SlowlyClosed()]
         for conn in conns:
-            await pool.give(ADDRESS, conn, ResponseHead(200, b"", []))
+            await pool.release(ADDRESS, conn, ResponseHead(200, b"", []))
             conn.sound = False
         async with anyio.create_task_group() as group:
-            group.start_soon(pool.sweep)
+            group.start_soon(pool.close_expired)
             await anyio.sleep(0.005)
-            assert await pool.take(ADDRESS) is None
-        assert await pool.take(ADDRESS) is None
+            assert await pool.take_idle(ADDRESS) is None
+        assert await pool.take_idle(ADDRESS) is None
--- a/tests/router/test_prober.py
+++ b/tests/router/test_prober.py
@@ -19,7 +19,9 @@
 
 @pytest.fixture()
 def directory() -> Directory:
-    made = Directory(StandinDialect().endpoint, lambda: 0.0, Timing(BoundsSection()))
+    made = Directory(
+        StandinDialect().decode_endpoint, lambda: 0.0, Timing(BoundsSection())
+    )
     for name in ("p1", "p2", "p3"):
         made.add(Endpoint(name, "pool", "127.0.0.1", 1, "here"))
     return made
--- a/tests/router/test_store.py
+++ b/tests/router/test_store.py
@@ -119,7 +119,7 @@
             await h.until(lambda: "d1" in second.directory.records)
             await h.until(lambda: second.hosts.another_steady())
             cut.down = True
-            await h.until(lambda: not second._endpoints_watch.reached)
+            await h.until(lambda: not second._endpoints_watch.connected)
             record = second.directory.records["d1"]
             h.store.remove(Table.ENDPOINTS, "d1")
             await h.until(lambda: not second.directory.records or record.entry_lapsed)
--- a/tests/router/test_stream.py
+++ b/tests/router/test_stream.py
@@ -9,7 +9,7 @@
 import anyio
 import pytest
 
-from hemlockhall_router.connection.error import BrokenError
+from hemlockhall_router.connection.error import ConnectionLostError
 from hemlockhall_router.process.store import Table
 from hemlockhall_router.request.stream import RESTORE_S
 from hemlockhall_standins.router.dialect import RouteRow
@@ -226,7 +226,7 @@
         async def stall(arrival: Arrival) -> None:
             await arrival.begin()
             await arrival.event(first_event(arrival))
-            await arrival.reader.watch()
+            await arrival.reader.wait_disconnect()
             arrival.ended = True
 
         async def cut(arrival: Arrival) -> None:
@@ -336,7 +336,7 @@
 
         async with hall(ROUTES) as h:
             pool = await h.endpoint("p1", cut, **ALL)
-            with pytest.raises(BrokenError):
+            with pytest.raises(ConnectionLostError):
                 await h.ask("/once/x", method="POST")
             assert len(pool.arrivals) == 1
 
@@ -360,7 +360,7 @@
         async def stall(arrival: Arrival) -> None:
             await arrival.begin()
             await arrival.event(1)
-            await arrival.reader.watch()
+            await arrival.reader.wait_disconnect()
             arrival.ended = True
 
         scripts = iter((stall, write))
@@ -532,7 +532,7 @@
         async def slow(arrival: Arrival) -> None:
             await arrival.begin()
             await arrival.event(1)
-            await arrival.reader.watch()
+            await arrival.reader.wait_disconnect()
             arrival.ended = True
             arrival.endpoint.left += 1
 
@@ -671,12 +671,12 @@
             conn = await h.connect()
             deadline = time.monotonic() + 20
             await conn.send(caller_text("/draft/x", "POST"), deadline)
-            await conn.head(deadline)
+            await conn.read_head(deadline)
             h.group.start_soon(h.routers[0].leave)
             await h.until(lambda: not h.routers[0].ready)
             go_on.set()
             body = b""
-            while (part := await conn.chunk(deadline)) is not None:
+            while (part := await conn.read_chunk(deadline)) is not None:
                 body += part
             assert body == WHOLE
 
@@ -703,5 +703,5 @@
             router.budget.ratio = router.budget.constant = 0.0
             answer = await h.ask("/draft/x", method="POST")
             assert answer.head.status == 503
-            text = router.front._tools.metrics.text().decode()
+            text = router.frontend._tools.metrics.render().decode()
             assert 'refusals_total{label="retry_budget"} 1' in text
--- a/tests/router/test_timing.py
+++ b/tests/router/test_timing.py
@@ -43,9 +43,9 @@
         self, config_ms: float
     ) -> None:
         timing = Timing(BoundsSection(config_ms=config_ms))
-        spent_s = timing.dead_s + timing.round_s + timing.batch_s
+        spent_s = timing.host_timeout_s + timing.gossip_interval_s + timing.debounce_s
         assert spent_s < config_ms / 1000
-        assert timing.stale_s < config_ms / 1000
+        assert timing.max_staleness_s < config_ms / 1000
 
 
 class TestBounds:
