--- a/packages/router/src/hemlockhall_router/process/directory.py
+++ b/packages/router/src/hemlockhall_router/process/directory.py
@@ -20,7 +20,7 @@
 
     from hemlockhall_router.process.store import Row
     from hemlockhall_router.process.timing import Timing
-    from hemlockhall_router.request.running import Running
+    from hemlockhall_router.request.active_stream import ActiveStream
     from hemlockhall_router.version.endpoint import Endpoint, EndpointReport
 
 # Seconds an endpoint that failed is left out, doubled with each failure in a
@@ -95,7 +95,7 @@
     replaced: bool = False
     last_event_at: float = 0.0
     last_local_event_at: float = 0.0
-    active_streams: set[Running] = field(default_factory=set)
+    active_streams: set[ActiveStream] = field(default_factory=set)
 
     @property
     def suspect(self) -> bool:
@@ -167,7 +167,7 @@
         self._outage = outage
         self._timing = timing
         self.records: dict[str, EndpointRecord] = {}
-        self.active_streams: set[Running] = set()
+        self.active_streams: set[ActiveStream] = set()
         self.version = 0
         self.generation = 0
         self.replica_index = ReplicaIndex(self)
@@ -546,16 +546,16 @@
         """Ask some of the streams that an endpoint still serves to go on elsewhere."""
         waiting = []
         for running in record.active_streams:
-            if now - running.asked_at > self._timing.move_retry_s:
+            if now - running.move_requested_at > self._timing.move_retry_s:
                 waiting.append(running)
         most = ceil(len(record.active_streams) * MOVE_PART)
         for running in waiting[:most]:
-            running.move(cause, served=True)
+            running.request_move(cause, still_served=True)
 
 
 def _move(record: EndpointRecord, cause: str) -> None:
     for running in list(record.active_streams):
-        running.move(cause)
+        running.request_move(cause)
 
 
 def _span(endpoint: Endpoint) -> str:
--- a/packages/router/src/hemlockhall_router/process/frontend.py
+++ b/packages/router/src/hemlockhall_router/process/frontend.py
@@ -12,10 +12,10 @@
 from hemlockhall_router.connection.caller import CallerLimits, CallerReader
 from hemlockhall_router.connection.error import CallerDisconnectedError, CallerError
 from hemlockhall_router.request.plain import PlainRelay
-from hemlockhall_router.request.reason import Refusal
-from hemlockhall_router.request.reply import Reply
+from hemlockhall_router.request.reason import RefusalReason
+from hemlockhall_router.request.relay import RoutedRequest
+from hemlockhall_router.request.response_writer import ResponseWriter
 from hemlockhall_router.request.stream import StreamRelay
-from hemlockhall_router.request.work import Work
 from hemlockhall_router.version.routing import RouteKind, Service
 
 if TYPE_CHECKING:
@@ -25,7 +25,7 @@
 
     from hemlockhall_router.connection.message import RequestHead
     from hemlockhall_router.process.dialect import TokenCounts
-    from hemlockhall_router.request.work import Tools
+    from hemlockhall_router.request.relay import RelayContext
     from hemlockhall_router.version.routing import Customer, Route, RoutingConfig
 
 # Seconds a caller waits that states no deadline.
@@ -43,7 +43,7 @@
 class _Refused(Exception):
     """The request is not relayed; the answer is this host's own."""
 
-    def __init__(self, refusal: Refusal, status: int, text: str) -> None:
+    def __init__(self, refusal: RefusalReason, status: int, text: str) -> None:
         super().__init__(text)
         self.refusal = refusal
         self.status = status
@@ -55,16 +55,16 @@
 
     Parameters
     ----------
-    tools : Tools
+    context : RelayContext
         What relaying uses.
     routing : callable
         Returns the configuration in force, or None.
     """
 
     def __init__(
-        self, tools: Tools, routing: Callable[[], RoutingConfig | None]
+        self, context: RelayContext, routing: Callable[[], RoutingConfig | None]
     ) -> None:
-        self._tools = tools
+        self._context = context
         self._routing = routing
         self._idle: set[anyio.CancelScope] = set()
         self._notice = self._end = float("inf")
@@ -119,7 +119,7 @@
                 finally:
                     self._idle.discard(idle)
         except CallerError as exc:
-            self._tools.metrics.count_refusal(Refusal.UNREADABLE)
+            self._context.metrics.count_refusal(RefusalReason.UNREADABLE)
             await reader.refuse(exc)
             return False
         if head is None:
@@ -133,11 +133,11 @@
     async def _exchange(self, reader: CallerReader, head: RequestHead) -> bool:
         arrived = time.monotonic()
         deadline = arrived + self._patience_s(head)
-        reply = Reply(reader, head, lambda: self.leaving or reader.close_after)
+        reply = ResponseWriter(reader, head, lambda: self.leaving or reader.close_after)
         try:
             body = await reader.read_body(deadline)
         except CallerError as exc:
-            self._tools.metrics.count_refusal(Refusal.UNREADABLE)
+            self._context.metrics.count_refusal(RefusalReason.UNREADABLE)
             await reader.refuse(exc)
             return False
         gone = False
@@ -155,15 +155,15 @@
             except CallerDisconnectedError:
                 gone = True
             group.cancel_scope.cancel()
-        self._tools.metrics.count_response(0 if gone else reply.status)
+        self._context.metrics.count_response(0 if gone else reply.status)
         if gone:
             # Leaving closed the connections to the endpoints, which stops them.
             logger.info("caller left", request=self._id(head).decode("latin-1"))
             return False
         reader.finish_request()
-        if reply.close and reply.complete:
+        if reply.close_connection and reply.complete:
             await reader.linger()
-        return reply.complete and not reply.close
+        return reply.complete and not reply.close_connection
 
     async def _answer(
         self,
@@ -171,12 +171,12 @@
         body: bytes,
         deadline: float,
         arrived: float,
-        reply: Reply,
+        reply: ResponseWriter,
     ) -> None:
         try:
             work = self._work(head, body, deadline, arrived)
         except _Refused as exc:
-            self._tools.metrics.count_refusal(exc.refusal)
+            self._context.metrics.count_refusal(exc.refusal)
             logger.info(
                 "request refused",
                 request=self._id(head).decode("latin-1"),
@@ -186,33 +186,35 @@
             again_s = None
             if exc.status == 503:
                 again_s = LEAVE_AGAIN_S if self.leaving else START_AGAIN_S
-            await reply.own(exc.status, exc.text, again_s)
+            await reply.local_reply(exc.status, exc.text, again_s)
             return
-        self._tools.budget.record_request(work.service.name)
+        self._context.retry_budget.record_request(work.service.name)
         if work.route.kind is RouteKind.STREAM and work.service.model is not None:
-            await StreamRelay(work, self._tools, reply).run()
+            await StreamRelay(work, self._context, reply).run()
         else:
-            await PlainRelay(work, self._tools, reply).run()
+            await PlainRelay(work, self._context, reply).run()
 
     def _work(
         self, head: RequestHead, body: bytes, deadline: float, arrived: float
-    ) -> Work:
+    ) -> RoutedRequest:
         routing = self._routing()
         if routing is None:
             raise _Refused(
-                Refusal.NO_CONFIGURATION, 503, "no configuration is known yet"
+                RefusalReason.NO_CONFIGURATION, 503, "no configuration is known yet"
             )
         route = routing.match(head)
         if route is None:
-            raise _Refused(Refusal.NO_ROUTE, 404, "no route has this host and path")
+            raise _Refused(
+                RefusalReason.NO_ROUTE, 404, "no route has this host and path"
+            )
         customer = self._customer(routing, route, head)
-        tokens = self._tools.dialect.decode_token_counts(head)
+        tokens = self._context.dialect.decode_token_counts(head)
         now = time.monotonic()
         if now > self._notice and self._end - now < _usual_s(route, tokens):
-            raise _Refused(Refusal.LEAVING, 503, "this host is about to end")
+            raise _Refused(RefusalReason.LEAVING, 503, "this host is about to end")
         name = _target(route)
         service = routing.services.get(name) or Service(name, "/", 0)
-        return Work(
+        return RoutedRequest(
             head=head,
             body=body,
             route=route,
@@ -220,28 +222,28 @@
             customer=customer,
             id=self._id(head),
             deadline=min(deadline, arrived + route.timeout_s),
-            tokens=tokens,
+            token_counts=tokens,
         )
 
     def _customer(
         self, routing: RoutingConfig, route: Route, head: RequestHead
     ) -> Customer | None:
-        key = head.header(self._tools.dialect.headers.api_key)
+        key = head.header(self._context.dialect.headers.api_key)
         customer = routing.customers.get(key.strip()) if key else None
         if not routing.keys_required or route.public:
             return customer
         if customer is None:
-            raise _Refused(Refusal.UNKNOWN_KEY, 401, "the API key is not known")
+            raise _Refused(RefusalReason.UNKNOWN_KEY, 401, "the API key is not known")
         return customer
 
     def _patience_s(self, head: RequestHead) -> float:
-        value = head.header(self._tools.dialect.headers.deadline_ms)
+        value = head.header(self._context.dialect.headers.deadline_ms)
         if value is None or not value.strip().isdigit():
             return DEADLINE_S
         return int(value) / 1000
 
     def _id(self, head: RequestHead) -> bytes:
-        return head.header(self._tools.dialect.headers.request_id) or b""
+        return head.header(self._context.dialect.headers.request_id) or b""
 
     def _version(self) -> int:
         routing = self._routing()
--- a/packages/router/src/hemlockhall_router/process/metric.py
+++ b/packages/router/src/hemlockhall_router/process/metric.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from hemlockhall_core.process.latency import Latency
-from hemlockhall_router.request.reason import Refusal, Retry
+from hemlockhall_router.request.reason import RefusalReason, RetryReason
 
 if TYPE_CHECKING:
     from enum import Enum
@@ -23,8 +23,8 @@
 
     def __init__(self) -> None:
         self._counters: dict[str, dict[str, int]] = {
-            "refusals": {refusal.value: 0 for refusal in Refusal},
-            "retries": {retry.value: 0 for retry in Retry},
+            "refusals": {refusal.value: 0 for refusal in RefusalReason},
+            "retries": {retry.value: 0 for retry in RetryReason},
             "answers": {},
             "orders": {},
             "log_lines_left_out": {"all": 0},
@@ -39,11 +39,11 @@
             "hemlockhall_answer_seconds", "From sending to a whole answer"
         )
 
-    def count_refusal(self, reason: Refusal) -> None:
+    def count_refusal(self, reason: RefusalReason) -> None:
         """Count an answer of this host's own."""
         self._count("refusals", reason)
 
-    def count_retry(self, reason: Retry) -> None:
+    def count_retry(self, reason: RetryReason) -> None:
         """Count a failed try."""
         self._count("retries", reason)
 
--- a/packages/router/src/hemlockhall_router/process/prober.py
+++ b/packages/router/src/hemlockhall_router/process/prober.py
@@ -19,7 +19,7 @@
     from hemlockhall_router.connection.message import Response
     from hemlockhall_router.process.dialect import Dialect
     from hemlockhall_router.process.directory import Directory
-    from hemlockhall_router.request.running import Running
+    from hemlockhall_router.request.active_stream import ActiveStream
     from hemlockhall_router.version.endpoint import Endpoint, EndpointReport
 
 # Seconds in which an endpoint answers for its state unless it is dead or cut off:
@@ -118,14 +118,14 @@
         now = time.monotonic()
         self._calm = max(1.0, self._calm * CALM_FALL)
         for running in self._directory.active_streams:
-            if not running.silent(now, self._calm, self._awake_at):
+            if not running.silence_exceeded(now, self._calm, self._awake_at):
                 continue
             unheard = self._unheard(running, now)
             if unheard:
-                running.doubted = True
+                running.probe_requested = True
                 self.request_probes(unheard)
 
-    def _unheard(self, running: Running, now: float) -> list[str]:
+    def _unheard(self, running: ActiveStream, now: float) -> list[str]:
         """Return the endpoints of a silent stream through which no other is heard.
 
         A stream also pauses where all of its endpoints live: one reads long
@@ -133,11 +133,14 @@
         ones live; asking those would only add to their load.
         """
         found = []
-        for key in running.ids:
+        for key in running.endpoint_ids:
             record = self._directory.records.get(key)
             if record is None:
                 continue
-            if now - max(record.last_event_at, self._awake_at) > running.quiet_s:
+            if (
+                now - max(record.last_event_at, self._awake_at)
+                > running.silence_limit_s
+            ):
                 found.append(key)
         return found
 
--- a/packages/router/src/hemlockhall_router/process/router.py
+++ b/packages/router/src/hemlockhall_router/process/router.py
@@ -35,7 +35,7 @@
 from hemlockhall_router.process.store import Table
 from hemlockhall_router.process.timing import Timing
 from hemlockhall_router.process.watch import Watch
-from hemlockhall_router.request.work import Tools
+from hemlockhall_router.request.relay import RelayContext
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -121,7 +121,7 @@
         pipes = DataCentreLinks(self.hosts.sharers)
         chooser = Chooser(self.directory, host.data_centre, pipes, self.hosts.near)
         self._pool = ConnectionPool()
-        tools = Tools(
+        context = RelayContext(
             self._dialect,
             self._pool,
             self.directory,
@@ -131,7 +131,7 @@
             self._prober,
             pipes,
         )
-        self.frontend = Frontend(tools, lambda: self.routing)
+        self.frontend = Frontend(context, lambda: self.routing)
         self.leadership = Leadership(self.lease, self.hosts)
         self._planner = Planner(
             self._dialect,
--- a/packages/router/src/hemlockhall_router/request/running.py
+++ b/packages/router/src/hemlockhall_router/request/active_stream.py
@@ -8,7 +8,7 @@
 import anyio
 
 from hemlockhall_router.policy.silence import EventIntervalEstimator
-from hemlockhall_router.request.reason import Retry
+from hemlockhall_router.request.reason import RetryReason
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -19,26 +19,26 @@
 class MovedError(Exception):
     """This stream should go on elsewhere.
 
-    ``served`` tells whether its endpoints may still serve it: then it is not
+    ``still_served`` tells whether its endpoints may still serve it: then it is not
     lost by staying. ``reason`` is the counter's label.
     """
 
     def __init__(
-        self, cause: str, *, served: bool, reason: Retry = Retry.MOVED
+        self, cause: str, *, still_served: bool, reason: RetryReason = RetryReason.MOVED
     ) -> None:
         super().__init__(cause)
-        self.served = served
+        self.still_served = still_served
         self.reason = reason
 
 
-class Running:
+class ActiveStream:
     """One run of a stream.
 
     Parameters
     ----------
-    ids : list of str
+    endpoint_ids : list of str
         Endpoints on its path.
-    quiet_s : float
+    silence_limit_s : float
         Seconds of silence from which its endpoints are in doubt.
     movable : bool
         Whether it may run a second time elsewhere. One that may not is lost
@@ -46,50 +46,59 @@
         connection tells whether it is.
     """
 
-    def __init__(self, ids: list[str], quiet_s: float, *, movable: bool) -> None:
-        self.ids = ids
-        self.quiet_s = quiet_s
+    def __init__(
+        self, endpoint_ids: list[str], silence_limit_s: float, *, movable: bool
+    ) -> None:
+        self.endpoint_ids = endpoint_ids
+        self.silence_limit_s = silence_limit_s
         self._movable = movable
-        self.heard_at = time.monotonic()
-        self.doubted = False
-        self.began = False
-        self.asked_at = float("-inf")
+        self.last_event_at = time.monotonic()
+        self.probe_requested = False
+        self.first_event_seen = False
+        self.move_requested_at = float("-inf")
         self._interval = EventIntervalEstimator()
         self._moved: MovedError | None = None
         self._scope: anyio.CancelScope | None = None
 
-    def heard(self, quiet_s: float) -> None:
-        """Note that something came; ``quiet_s`` is the longest silence from now on."""
+    def record_event(self, silence_limit_s: float) -> None:
+        """Note that something came.
+
+        ``silence_limit_s`` is the longest silence from now on.
+        """
         now = time.monotonic()
-        if self.began:
-            self._interval.add(now - self.heard_at)
-        self.heard_at = now
-        self.quiet_s = self._interval.silence_limit_s(quiet_s)
-        self.doubted = False
-        self.began = True
-
-    def silent(self, now: float, factor: float, awake_at: float = 0.0) -> bool:
+        if self.first_event_seen:
+            self._interval.add(now - self.last_event_at)
+        self.last_event_at = now
+        self.silence_limit_s = self._interval.silence_limit_s(silence_limit_s)
+        self.probe_requested = False
+        self.first_event_seen = True
+
+    def silence_exceeded(
+        self, now: float, factor: float, reading_since: float = 0.0
+    ) -> bool:
         """Return whether it has been silent for too long, and not been doubted.
 
-        Nothing counts as missed before ``awake_at``, when this host began to
+        Nothing counts as missed before ``reading_since``, when this host began to
         read again.
         """
-        if self.doubted:
+        if self.probe_requested:
             return False
-        return now - max(self.heard_at, awake_at) > self.quiet_s * factor
+        return (
+            now - max(self.last_event_at, reading_since) > self.silence_limit_s * factor
+        )
 
-    def move(self, cause: str, *, served: bool = False) -> None:
+    def request_move(self, cause: str, *, still_served: bool = False) -> None:
         """Let it go on elsewhere.
 
-        One that is still ``served`` is asked only once the caller has an event:
+        One that is ``still_served`` is asked only once the caller has an event:
         before that it has nothing to lose where it is.
         """
-        if not self._movable or (served and not self.began):
+        if not self._movable or (still_served and not self.first_event_seen):
             return
-        if self._moved is not None and not self._moved.served:
+        if self._moved is not None and not self._moved.still_served:
             return
-        self.asked_at = time.monotonic()
-        self._moved = MovedError(cause, served=served)
+        self.move_requested_at = time.monotonic()
+        self._moved = MovedError(cause, still_served=still_served)
         if self._scope is not None:
             self._scope.cancel()
 
@@ -114,12 +123,12 @@
         moved = self._moved
         if moved is None:
             return
-        if moved.served:
+        if moved.still_served:
             self._moved = None
         raise moved
 
 
 __all__ = [
     "MovedError",
-    "Running",
+    "ActiveStream",
 ]
--- a/packages/router/src/hemlockhall_router/request/attempt.py
+++ b/packages/router/src/hemlockhall_router/request/attempt.py
@@ -11,12 +11,17 @@
     ReadTimeoutError,
     TransportError,
 )
+from hemlockhall_router.request.active_stream import ActiveStream, MovedError
 from hemlockhall_router.request.events import Splitter
 from hemlockhall_router.request.failure import TryFailedError, id_text
 from hemlockhall_router.request.plain import CONNECT_S
-from hemlockhall_router.request.reason import Retry
-from hemlockhall_router.request.running import MovedError, Running
-from hemlockhall_router.request.work import Occupied, Tools, Work, outgoing
+from hemlockhall_router.request.reason import RetryReason
+from hemlockhall_router.request.relay import (
+    Occupied,
+    RelayContext,
+    RoutedRequest,
+    outgoing,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -39,20 +44,20 @@
     """
 
     def __init__(
-        self, work: Work, tools: Tools, path: Path, patience: Patience
+        self, work: RoutedRequest, context: RelayContext, path: Path, patience: Patience
     ) -> None:
         self._work = work
-        self._tools = tools
+        self._context = context
         self._patience = patience
         self._splitter = Splitter()
         self._conn: ClientConnection | None = None
         self._began = 0.0
         self.path = path
         self.head: ResponseHead | None = None
-        self.running = Running(
+        self.running = ActiveStream(
             self.ids, patience.quiet_first_s, movable=work.route.retryable
         )
-        self._occupied = Occupied(tools.directory, self.ids, self.running, work.size)
+        self._occupied = Occupied(context.directory, self.ids, self.running, work.size)
 
     @property
     def ids(self) -> list[str]:
@@ -74,7 +79,7 @@
         self._send_activations()
         text = outgoing(
             self._work,
-            self._tools.dialect,
+            self._context.dialect,
             self.path.first_endpoint,
             self.path,
             resume_after,
@@ -99,7 +104,7 @@
         """
         assert self._conn is not None
         patience = self._patience
-        if self.running.began:
+        if self.running.first_event_seen:
             deadline = patience.pause_deadline()
         else:
             deadline = patience.first_deadline()
@@ -111,31 +116,33 @@
                     raise
                 # It may be dead or slow. Whoever can go on without it is asked
                 # first: a slow one has the next event ready soon.
-                self._tools.prober.request_probes(self.ids)
+                self._context.prober.request_probes(self.ids)
                 self._patience.grow()
-                raise MovedError(str(exc), served=True, reason=Retry.SILENT) from exc
+                raise MovedError(
+                    str(exc), still_served=True, reason=RetryReason.SILENT
+                ) from exc
         if data is not None:
             return self._splitter.feed(data)
         if self._splitter.partial:
-            raise TryFailedError(Retry.BROKEN, "ended inside an event", ran=True)
+            raise TryFailedError(RetryReason.BROKEN, "ended inside an event", ran=True)
         return None
 
     def heard(self) -> None:
         """Note that an event came that the caller did not have."""
-        if not self.running.began:
+        if not self.running.first_event_seen:
             took = time.monotonic() - self._began
-            self._tools.directory.record_success(self.path.first_endpoint.id, took)
-            self._tools.metrics.first_event.record(took)
+            self._context.directory.record_success(self.path.first_endpoint.id, took)
+            self._context.metrics.first_event.record(took)
             self._occupied.read()
         self._occupied.heard()
-        self.running.heard(self._patience.quiet_pause_s)
+        self.running.record_event(self._patience.quiet_pause_s)
 
     async def keep(self) -> None:
         """Give the connection back after a complete answer."""
         assert self._conn is not None
         assert self.head is not None
         conn, self._conn = self._conn, None
-        await self._tools.pool.release(
+        await self._context.pool.release(
             self.path.first_endpoint.address, conn, self.head
         )
 
@@ -149,21 +156,23 @@
         first = self.path.first_endpoint
         deadline = min(self._work.deadline, time.monotonic() + CONNECT_S)
         try:
-            self._conn = await self._tools.pool.acquire(first.address, deadline)
+            self._conn = await self._context.pool.acquire(first.address, deadline)
         except NotSentError as exc:
-            self._tools.directory.record_failure(first.id, str(exc))
+            self._context.directory.record_failure(first.id, str(exc))
             raise TryFailedError(
-                Retry.NOT_SENT, str(exc), ran=False, suspects=[first.id]
+                RetryReason.NOT_SENT, str(exc), ran=False, suspects=[first.id]
             ) from exc
 
     def _send_activations(self) -> None:
         work = self._work
         if work.service.model is not None:
-            self._tools.pipes.record_transfer(self.path, work.service.model, work.size)
+            self._context.data_centre_links.record_transfer(
+                self.path, work.service.model, work.size
+            )
 
     async def _own_head(self) -> ResponseHead:
         assert self._conn is not None
-        name = self._tools.dialect.headers.request_id
+        name = self._context.dialect.headers.request_id
         while True:
             deadline = self._patience.first_deadline()
             head = await self.running.wait(self._conn.read_head, deadline)
@@ -179,11 +188,11 @@
         try:
             yield
         except TransportError as exc:
-            self._tools.prober.request_probes(self.ids)
+            self._context.prober.request_probes(self.ids)
             self._patience.grow()
             silent = isinstance(exc, ReadTimeoutError)
             raise TryFailedError(
-                Retry.SILENT if silent else Retry.BROKEN,
+                RetryReason.SILENT if silent else RetryReason.BROKEN,
                 str(exc),
                 ran=True,
                 suspects=self.ids if silent else self.ids[:1],
@@ -191,23 +200,25 @@
 
     def _judge(self, head: ResponseHead) -> None:
         """Raise ``TryFailedError`` unless the answer is a stream to relay."""
-        names = self._tools.dialect.headers
+        names = self._context.dialect.headers
         not_run = head.header(names.not_executed) is not None or head.status == 421
         if not_run:
             suspects = [self._blame(head)]
             cause = f"status {head.status}"
-            raise TryFailedError(Retry.REJECTED, cause, ran=False, suspects=suspects)
+            raise TryFailedError(
+                RetryReason.REJECTED, cause, ran=False, suspects=suspects
+            )
         if head.status >= 300:
-            raise TryFailedError(Retry.FAILED, f"status {head.status}", ran=True)
+            raise TryFailedError(RetryReason.FAILED, f"status {head.status}", ran=True)
         if head.header(names.signature) is None:
-            raise TryFailedError(Retry.FAILED, "no signature", ran=True)
+            raise TryFailedError(RetryReason.FAILED, "no signature", ran=True)
         if head.header(b"content-encoding") is not None:
-            raise TryFailedError(Retry.FAILED, "the body is encoded", ran=True)
+            raise TryFailedError(RetryReason.FAILED, "the body is encoded", ran=True)
 
     def _blame(self, head: ResponseHead) -> str:
         """Note which endpoint of the path refused, and return its id."""
         at_fault = id_text(
-            head.header(self._tools.dialect.headers.failed_endpoint) or b""
+            head.header(self._context.dialect.headers.failed_endpoint) or b""
         )
         for part in self.path.stages:
             host, port = part.endpoint.address
@@ -215,11 +226,11 @@
                 continue
             key = part.endpoint.id
             if head.status == NO_ROOM:
-                self._tools.directory.record_busy(key)
-                self._tools.directory.record_refusal(key)
+                self._context.directory.record_busy(key)
+                self._context.directory.record_refusal(key)
             else:
-                self._tools.directory.record_failure(key, f"status {head.status}")
-            self._tools.prober.request_probes([key])
+                self._context.directory.record_failure(key, f"status {head.status}")
+            self._context.prober.request_probes([key])
             return key
         return self.path.first_endpoint.id
 
--- a/packages/router/src/hemlockhall_router/request/failure.py
+++ b/packages/router/src/hemlockhall_router/request/failure.py
@@ -8,7 +8,7 @@
     from collections.abc import Iterable
 
     from hemlockhall_router.connection.message import Response
-    from hemlockhall_router.request.reason import Retry
+    from hemlockhall_router.request.reason import RetryReason
 
 
 class TryFailedError(Exception):
@@ -21,7 +21,7 @@
 
     def __init__(
         self,
-        reason: Retry,
+        reason: RetryReason,
         cause: str,
         *,
         ran: bool,
--- a/packages/router/src/hemlockhall_router/request/patience.py
+++ b/packages/router/src/hemlockhall_router/request/patience.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from hemlockhall_router.request.work import Work
+    from hemlockhall_router.request.relay import RoutedRequest
 
 # Part of the objective without a first event, and of the longest pause without
 # another one, after which the endpoints of the path are asked whether they
@@ -27,7 +27,7 @@
 class Patience:
     """The waits of one stream, from its route; times in seconds."""
 
-    def __init__(self, work: Work) -> None:
+    def __init__(self, work: RoutedRequest) -> None:
         self._work = work
         self._growth = 1.0
         self.objective_s = work.route.latency_objective_s or UNSTATED_S
--- a/packages/router/src/hemlockhall_router/request/plain.py
+++ b/packages/router/src/hemlockhall_router/request/plain.py
@@ -14,13 +14,18 @@
     TransportError,
 )
 from hemlockhall_router.request.failure import TryFailedError, id_text
-from hemlockhall_router.request.reason import Refusal, Retry
-from hemlockhall_router.request.work import Occupied, Tools, Work, outgoing
+from hemlockhall_router.request.reason import RefusalReason, RetryReason
+from hemlockhall_router.request.relay import (
+    Occupied,
+    RelayContext,
+    RoutedRequest,
+    outgoing,
+)
 
 if TYPE_CHECKING:
     from hemlockhall_router.connection.message import Response
     from hemlockhall_router.process.directory import EndpointRecord
-    from hemlockhall_router.request.reply import Reply
+    from hemlockhall_router.request.response_writer import ResponseWriter
 
 # Seconds a connection may take to open: far above the delay inside a region,
 # far below the objectives.
@@ -42,9 +47,11 @@
 class PlainRelay:
     """Relays one request with one answer."""
 
-    def __init__(self, work: Work, tools: Tools, reply: Reply) -> None:
+    def __init__(
+        self, work: RoutedRequest, context: RelayContext, reply: ResponseWriter
+    ) -> None:
         self._work = work
-        self._tools = tools
+        self._context = context
         self._reply = reply
         self._tried: set[str] = set()
         self._sent = 0
@@ -56,18 +63,22 @@
         """Send the request until it is answered or given up."""
         work = self._work
         while True:
-            record = self._tools.chooser.choose_endpoint(work.service.name, self._tried)
+            record = self._context.chooser.choose_endpoint(
+                work.service.name, self._tried
+            )
             if record is None or work.left_s <= 0:
-                await self._give_up(Refusal.NO_ENDPOINT)
+                await self._give_up(RefusalReason.NO_ENDPOINT)
                 return
-            if self._sent and not self._tools.budget.try_acquire(work.service.name):
-                await self._give_up(Refusal.RETRY_BUDGET)
+            if self._sent and not self._context.retry_budget.try_acquire(
+                work.service.name
+            ):
+                await self._give_up(RefusalReason.RETRY_BUDGET)
                 return
             try:
                 response = await self._try(record)
             except TryFailedError as again:
                 if not self._continue(record, again):
-                    await self._give_up(Refusal.ENDPOINTS_FULL)
+                    await self._give_up(RefusalReason.ENDPOINTS_FULL)
                     return
                 continue
             await self._reply.whole(response)
@@ -77,7 +88,7 @@
         """Note a failed try; return whether another one may follow."""
         work = self._work
         self._tried.add(record.endpoint.id)
-        self._tools.metrics.count_retry(again.reason)
+        self._context.metrics.count_retry(again.reason)
         logger.info(
             "try failed",
             request=id_text(work.id),
@@ -88,7 +99,7 @@
         )
         if again.response is not None:
             self._spare = again.response
-        if again.reason is not Retry.NOT_SENT:
+        if again.reason is not RetryReason.NOT_SENT:
             self._sent += 1
         if not again.ran:
             self._refusals += 1
@@ -97,44 +108,44 @@
         return work.route.retryable and len(self._tried) < work.route.max_attempts
 
     async def _try(self, record: EndpointRecord) -> Response:
-        work, tools = self._work, self._tools
+        work, context = self._work, self._context
         endpoint = record.endpoint
         connect_deadline = min(work.deadline, time.monotonic() + CONNECT_S)
         try:
             if work.route.retryable:
-                conn = await tools.pool.acquire(endpoint.address, connect_deadline)
+                conn = await context.pool.acquire(endpoint.address, connect_deadline)
             else:
                 # A kept connection may be closed by the endpoint just as the
                 # request leaves; nobody could tell then whether it ran.
                 host, port = endpoint.address
                 conn = await ClientConnection.open(host, port, connect_deadline)
         except NotSentError as exc:
-            tools.directory.record_failure(endpoint.id, str(exc))
-            raise TryFailedError(Retry.NOT_SENT, str(exc), ran=False) from exc
+            context.directory.record_failure(endpoint.id, str(exc))
+            raise TryFailedError(RetryReason.NOT_SENT, str(exc), ran=False) from exc
         started = time.monotonic()
         try:
-            with Occupied(tools.directory, [endpoint.id]):
+            with Occupied(context.directory, [endpoint.id]):
                 response = await self._ask(conn, record)
         except TransportError as exc:
             silent = time.monotonic() - started > PATIENCE_FLOOR_S
-            tools.directory.record_failure(endpoint.id, str(exc))
-            reason = Retry.SILENT if silent else Retry.BROKEN
+            context.directory.record_failure(endpoint.id, str(exc))
+            reason = RetryReason.SILENT if silent else RetryReason.BROKEN
             raise TryFailedError(reason, str(exc), ran=True) from exc
         finally:
             if not conn.reusable:
                 await conn.close()
-        await tools.pool.release(endpoint.address, conn, response.head)
+        await context.pool.release(endpoint.address, conn, response.head)
         return self._judge(record, response, time.monotonic() - started)
 
     async def _ask(self, conn: ClientConnection, record: EndpointRecord) -> Response:
-        work, tools = self._work, self._tools
-        text = outgoing(work, tools.dialect, record.endpoint)
+        work, context = self._work, self._context
+        text = outgoing(work, context.dialect, record.endpoint)
         await conn.send(text, work.deadline)
         deadline = self._patience(record)
         for _ in range(MAX_FOREIGN):
             bodiless = work.head.method == b"HEAD"
             response = await conn.read_response(deadline, no_body=bodiless)
-            echoed = response.head.header(tools.dialect.headers.request_id)
+            echoed = response.head.header(context.dialect.headers.request_id)
             if echoed is None or echoed == work.id:
                 return response
             # An answer to an earlier request of this connection came late; the
@@ -153,27 +164,27 @@
         self, record: EndpointRecord, response: Response, took_s: float
     ) -> Response:
         """Return the answer to relay, or raise ``TryFailedError``."""
-        names = self._tools.dialect.headers
+        names = self._context.dialect.headers
         status = response.head.status
         key = record.endpoint.id
         if response.head.header(names.not_executed) is not None or status == 421:
             if status == 421:
-                self._tools.directory.record_failure(
+                self._context.directory.record_failure(
                     key, "another endpoint has its address"
                 )
-            raise TryFailedError(Retry.REJECTED, f"status {status}", ran=False)
+            raise TryFailedError(RetryReason.REJECTED, f"status {status}", ran=False)
         if response.head.header(b"content-encoding") is not None:
-            raise TryFailedError(Retry.FAILED, "the body is encoded", ran=True)
+            raise TryFailedError(RetryReason.FAILED, "the body is encoded", ran=True)
         if status < 300 and response.head.header(names.signature) is None:
-            raise TryFailedError(Retry.FAILED, "no signature", ran=True)
-        self._tools.directory.record_success(key, took_s)
-        self._tools.metrics.response_time.record(took_s)
+            raise TryFailedError(RetryReason.FAILED, "no signature", ran=True)
+        self._context.directory.record_success(key, took_s)
+        self._context.metrics.response_time.record(took_s)
         if status >= 500 and self._work.route.retryable:
             cause = f"status {status}"
-            raise TryFailedError(Retry.FAILED, cause, ran=True, response=response)
+            raise TryFailedError(RetryReason.FAILED, cause, ran=True, response=response)
         return response
 
-    async def _give_up(self, refusal: Refusal) -> None:
+    async def _give_up(self, refusal: RefusalReason) -> None:
         """Answer at once; 503 only if no try can have run."""
         work = self._work
         if self._spare is not None:
@@ -181,10 +192,10 @@
             return
         late = work.left_s <= 0
         if self._ran:
-            refusal = Refusal.TIMEOUT if late else Refusal.UNCERTAIN
+            refusal = RefusalReason.TIMEOUT if late else RefusalReason.UNCERTAIN
         elif late:
-            refusal = Refusal.DEADLINE
-        self._tools.metrics.count_refusal(refusal)
+            refusal = RefusalReason.DEADLINE
+        self._context.metrics.count_refusal(refusal)
         logger.warning(
             "request given up",
             request=id_text(work.id),
@@ -194,10 +205,10 @@
         )
         if self._ran:
             status = 504 if late else 502
-            await self._reply.own(status, "the endpoint did not answer")
+            await self._reply.local_reply(status, "the endpoint did not answer")
             return
         again_s = FULL_AGAIN_S if self._refusals else ABSENT_AGAIN_S
-        await self._reply.own(503, "no endpoint can take the request", again_s)
+        await self._reply.local_reply(503, "no endpoint can take the request", again_s)
 
 
 __all__ = [
--- a/packages/router/src/hemlockhall_router/request/reason.py
+++ b/packages/router/src/hemlockhall_router/request/reason.py
@@ -5,7 +5,7 @@
 from enum import Enum
 
 
-class Refusal(Enum):
+class RefusalReason(Enum):
     """Answers of this host's own; the value is the counter's label."""
 
     NO_CONFIGURATION = "no_configuration"
@@ -22,7 +22,7 @@
     LEAVING = "leaving"
 
 
-class Retry(Enum):
+class RetryReason(Enum):
     """Why a request went to another endpoint."""
 
     NOT_SENT = "not_sent"
@@ -35,6 +35,6 @@
 
 
 __all__ = [
-    "Refusal",
-    "Retry",
+    "RefusalReason",
+    "RetryReason",
 ]
--- a/packages/router/src/hemlockhall_router/request/work.py
+++ b/packages/router/src/hemlockhall_router/request/relay.py
@@ -18,7 +18,7 @@
     from hemlockhall_router.process.directory import Directory, EndpointRecord
     from hemlockhall_router.process.metric import Metrics
     from hemlockhall_router.process.prober import Prober
-    from hemlockhall_router.request.running import Running
+    from hemlockhall_router.request.active_stream import ActiveStream
     from hemlockhall_router.version.endpoint import Endpoint
     from hemlockhall_router.version.path import Path
     from hemlockhall_router.version.routing import Customer, Route, Service
@@ -28,21 +28,21 @@
 
 
 @dataclass(slots=True)
-class Tools:
+class RelayContext:
     """What a relay uses of the process."""
 
     dialect: Dialect
     pool: ConnectionPool
     directory: Directory
     chooser: Chooser
-    budget: RetryBudget
+    retry_budget: RetryBudget
     metrics: Metrics
     prober: Prober
-    pipes: DataCentreLinks
+    data_centre_links: DataCentreLinks
 
 
 @dataclass(slots=True)
-class Work:
+class RoutedRequest:
     """A caller's request with its route; deadlines are monotonic seconds."""
 
     head: RequestHead
@@ -52,13 +52,13 @@
     customer: Customer | None
     id: bytes
     deadline: float
-    tokens: TokenCounts | None = None
+    token_counts: TokenCounts | None = None
 
     @property
     def size(self) -> int:
         """Tokens for which it takes memory at most, or what is usual."""
-        if self.tokens is not None:
-            return self.tokens.prompt + self.tokens.max_output
+        if self.token_counts is not None:
+            return self.token_counts.prompt + self.token_counts.max_output
         model = self.service.model
         return (
             round(model.typical_prompt_tokens + model.typical_output_tokens)
@@ -73,7 +73,7 @@
 
 
 def outgoing(
-    work: Work,
+    work: RoutedRequest,
     dialect: Dialect,
     endpoint: Endpoint,
     path: Path | None = None,
@@ -124,7 +124,7 @@
         self,
         directory: Directory,
         ids: list[str],
-        running: Running | None = None,
+        running: ActiveStream | None = None,
         tokens: int = 0,
     ) -> None:
         self._directory = directory
@@ -188,7 +188,7 @@
 
 __all__ = [
     "Occupied",
-    "Tools",
-    "Work",
+    "RelayContext",
+    "RoutedRequest",
     "outgoing",
 ]
--- a/packages/router/src/hemlockhall_router/request/reply.py
+++ b/packages/router/src/hemlockhall_router/request/response_writer.py
@@ -26,7 +26,7 @@
 NOT_RUN = frozenset((408, 421, 429, 503))
 
 
-class Reply:
+class ResponseWriter:
     """One answer; after ``cut`` the connection cannot be used again.
 
     Parameters
@@ -46,7 +46,7 @@
         self._head = head
         self._closing = closing
         self.status = 0
-        self.close = False
+        self.close_connection = False
         self.complete = False
 
     @property
@@ -62,7 +62,7 @@
         await self._send(response.head.status, response.head.reason, headers, body)
         self.complete = True
 
-    async def own(
+    async def local_reply(
         self, status: int, text: str, retry_after_s: float | None = None
     ) -> None:
         """Send an answer of this host's own."""
@@ -96,8 +96,10 @@
     async def _send(
         self, status: int, reason: bytes, headers: Headers, body: bytes
     ) -> None:
-        self.close = self.close or self._closing() or not self._head.keep_alive
-        if self.close:
+        self.close_connection = (
+            self.close_connection or self._closing() or not self._head.keep_alive
+        )
+        if self.close_connection:
             headers.append(CLOSE)
         self.status = status
         await self._reader.send(encode_response_head(status, reason, headers) + body)
@@ -110,5 +112,5 @@
 
 __all__ = [
     "NOT_RUN",
-    "Reply",
+    "ResponseWriter",
 ]
--- a/packages/router/src/hemlockhall_router/request/stream.py
+++ b/packages/router/src/hemlockhall_router/request/stream.py
@@ -9,25 +9,25 @@
 import anyio
 from loguru import logger
 
+from hemlockhall_router.request.active_stream import MovedError
 from hemlockhall_router.request.attempt import Attempt
 from hemlockhall_router.request.failure import TryFailedError, id_text
 from hemlockhall_router.request.patience import Patience
 from hemlockhall_router.request.plain import ABSENT_AGAIN_S, FULL_AGAIN_S
-from hemlockhall_router.request.reason import Refusal, Retry
-from hemlockhall_router.request.running import MovedError
+from hemlockhall_router.request.reason import RefusalReason, RetryReason
 from hemlockhall_router.request.times import Times
 
 if TYPE_CHECKING:
     from hemlockhall_router.request.events import Event
-    from hemlockhall_router.request.reply import Reply
-    from hemlockhall_router.request.work import Tools, Work
+    from hemlockhall_router.request.relay import RelayContext, RoutedRequest
+    from hemlockhall_router.request.response_writer import ResponseWriter
     from hemlockhall_router.version.endpoint import Endpoint
     from hemlockhall_router.version.path import Path
 
 # Seconds after the last path was lost for which new requests wait for one: layers
 # of a lost endpoint are soon loaded elsewhere, and a refused caller comes back
 # later. Those that come later are refused at once: nobody knows when there is one.
-RESTORE_S = 1.3
+PATH_RESTORE_WAIT_S = 1.3
 # Part of the objective for which a request waits at any rate; an endpoint that
 # failed a moment ago is often back by then.
 HOLD_PART = 0.12
@@ -51,9 +51,11 @@
 class StreamRelay:
     """Relays one stream."""
 
-    def __init__(self, work: Work, tools: Tools, reply: Reply) -> None:
+    def __init__(
+        self, work: RoutedRequest, context: RelayContext, reply: ResponseWriter
+    ) -> None:
         self._work = work
-        self._tools = tools
+        self._context = context
         self._reply = reply
         self._patience = Patience(work)
         self._attempt: Attempt | None = None
@@ -84,7 +86,7 @@
             if self._sent and not self._paid and not await self._afford():
                 break
             self._paid = False
-            self._attempt = Attempt(self._work, self._tools, path, self._patience)
+            self._attempt = Attempt(self._work, self._context, path, self._patience)
             try:
                 await self._try()
                 return
@@ -100,14 +102,14 @@
         try:
             await self._attempt.begin(self._last_id)
         except MovedError as exc:
-            raise TryFailedError(Retry.MOVED, str(exc), ran=True) from exc
+            raise TryFailedError(RetryReason.MOVED, str(exc), ran=True) from exc
         while True:
             try:
                 await self._deliver(self._attempt)
                 return
             except MovedError as exc:
-                if not exc.served:
-                    raise TryFailedError(Retry.MOVED, str(exc), ran=True) from exc
+                if not exc.still_served:
+                    raise TryFailedError(RetryReason.MOVED, str(exc), ran=True) from exc
                 await self._hand_over(exc)
 
     async def _deliver(self, attempt: Attempt) -> None:
@@ -128,7 +130,7 @@
             await reply.chunk(b"".join(event.text for event in events))
             self._last_id = events[-1].id or self._last_id
         if not reply.started:
-            raise TryFailedError(Retry.BROKEN, "ended without an event", ran=True)
+            raise TryFailedError(RetryReason.BROKEN, "ended without an event", ran=True)
         await reply.end()
         self._note_end(attempt.path)
         await attempt.keep()
@@ -144,9 +146,9 @@
         old = self._attempt
         assert old is not None
         avoid = self._avoid
-        if moved.reason is Retry.SILENT:
+        if moved.reason is RetryReason.SILENT:
             avoid = avoid.union(old.ids)
-        path = self._tools.chooser.choose_path(
+        path = self._context.chooser.choose_path(
             self._work.service, avoid, tokens=self._work.size
         )
         if path is None or path.first_endpoint.id == old.path.first_endpoint.id:
@@ -155,19 +157,19 @@
         if not self._may_leave(old.path) or not self._allow():
             return
         self._sent += 1
-        new = Attempt(self._work, self._tools, path, self._patience)
+        new = Attempt(self._work, self._context, path, self._patience)
         try:
             with anyio.fail_after(self._patience.pause_s * HANDOVER_PAUSES):
                 await new.begin(self._last_id)
             self._attempt = new
             self._note_run(old)
-            self._tools.metrics.count_retry(moved.reason)
+            self._context.metrics.count_retry(moved.reason)
             self._log_broken(old, moved.reason, str(moved))
         except (TryFailedError, TimeoutError, MovedError) as exc:
             if not isinstance(exc, TryFailedError) or exc.ran:
                 self._note_run(new)
-            self._tools.metrics.count_retry(Retry.STAYED)
-            self._log_broken(new, Retry.STAYED, str(exc) or "no answer in time")
+            self._context.metrics.count_retry(RetryReason.STAYED)
+            self._log_broken(new, RetryReason.STAYED, str(exc) or "no answer in time")
         finally:
             await (old if self._attempt is new else new).close()
 
@@ -177,10 +179,10 @@
         Its endpoint may take it anew: only a new request shows whether the
         connection is dead. Without a repeat left it is better to wait on.
         """
-        if moved.reason is not Retry.SILENT or not self._allow():
+        if moved.reason is not RetryReason.SILENT or not self._allow():
             return
         self._paid = True
-        raise TryFailedError(Retry.SILENT, str(moved), ran=True) from moved
+        raise TryFailedError(RetryReason.SILENT, str(moved), ran=True) from moved
 
     async def _afford(self) -> bool:
         """Take a repeat from the budget.
@@ -197,14 +199,14 @@
         return True
 
     def _allow(self) -> bool:
-        return self._tools.budget.try_acquire(self._work.service.name)
+        return self._context.retry_budget.try_acquire(self._work.service.name)
 
     def _may_leave(self, path: Path) -> bool:
         """Return whether the route allows one more endpoint than this path's."""
         used = {*self._ran_at, path.first_endpoint.id}
         return len(used) < self._work.route.max_attempts
 
-    def _log_broken(self, attempt: Attempt, reason: Retry, cause: str) -> None:
+    def _log_broken(self, attempt: Attempt, reason: RetryReason, cause: str) -> None:
         logger.info(
             "stream broke",
             request=id_text(self._work.id),
@@ -218,10 +220,10 @@
         """Note a failed try; return whether another one may follow."""
         work, attempt = self._work, self._attempt
         assert attempt is not None
-        self._tools.metrics.count_retry(again.reason)
+        self._context.metrics.count_retry(again.reason)
         self._log_broken(attempt, again.reason, str(again))
         self._avoid.update(again.suspects)
-        if again.reason is not Retry.NOT_SENT:
+        if again.reason is not RetryReason.NOT_SENT:
             self._sent += 1
         if again.ran:
             self._ran = True
@@ -236,7 +238,7 @@
         After that moment an endpoint that failed this request is better than
         none: it may have restarted, and waiting first keeps the tries apart.
         """
-        work, chooser = self._work, self._tools.chooser
+        work, chooser = self._work, self._context.chooser
         began = time.monotonic()
         deadline = min(work.deadline, began + self._patience.objective_s * HOLD_PART)
         poll_s = HOLD_POLL_S
@@ -266,8 +268,8 @@
         if self._reply.started:
             return False
         return (
-            self._tools.chooser.seconds_without_path(self._work.service.name)
-            > RESTORE_S
+            self._context.chooser.seconds_without_path(self._work.service.name)
+            > PATH_RESTORE_WAIT_S
         )
 
     def _waited_too_long_for_room(self) -> bool:
@@ -285,7 +287,7 @@
         """
         there = []
         for key, endpoint in self._ran_at.items():
-            if self._tools.directory.may_still_run(endpoint):
+            if self._context.directory.may_still_run(endpoint):
                 there.append(key)
         if len(there) < self._work.route.max_attempts:
             return None
@@ -297,7 +299,7 @@
 
     def _note_end(self, path: Path) -> None:
         times = self._times
-        self._tools.metrics.longest_pause.record(times.pause_s)
+        self._context.metrics.longest_pause.record(times.pause_s)
         logger.info(
             "stream ended",
             request=id_text(self._work.id),
@@ -326,16 +328,16 @@
         work, reply = self._work, self._reply
         late = work.left_s <= 0
         if reply.started:
-            refusal = Refusal.TIMEOUT if late else Refusal.UNCERTAIN
+            refusal = RefusalReason.TIMEOUT if late else RefusalReason.UNCERTAIN
         elif self._ran and not work.route.retryable:
-            refusal = Refusal.TIMEOUT if late else Refusal.UNCERTAIN
+            refusal = RefusalReason.TIMEOUT if late else RefusalReason.UNCERTAIN
         elif self._unaffordable:
-            refusal = Refusal.RETRY_BUDGET
+            refusal = RefusalReason.RETRY_BUDGET
         elif self._rejected or self._ran:
-            refusal = Refusal.ENDPOINTS_FULL
+            refusal = RefusalReason.ENDPOINTS_FULL
         else:
-            refusal = Refusal.DEADLINE if late else Refusal.NO_PATH
-        self._tools.metrics.count_refusal(refusal)
+            refusal = RefusalReason.DEADLINE if late else RefusalReason.NO_PATH
+        self._context.metrics.count_refusal(refusal)
         logger.warning(
             "stream given up",
             request=id_text(work.id),
@@ -346,13 +348,13 @@
         )
         if reply.started:
             # The caller must see that the stream is not complete.
-            reply.close = True
+            reply.close_connection = True
             return
         if self._ran:
-            await reply.own(504 if late else 502, "the endpoint did not answer")
+            await reply.local_reply(504 if late else 502, "the endpoint did not answer")
             return
         again_s = FULL_AGAIN_S if self._rejected else ABSENT_AGAIN_S
-        await reply.own(503, "no path can take the request", again_s)
+        await reply.local_reply(503, "no path can take the request", again_s)
 
 
 def _number(value: bytes | None) -> int | None:
--- a/tests/router/test_prober.py
+++ b/tests/router/test_prober.py
@@ -10,7 +10,7 @@
 from hemlockhall_router.process.prober import Prober
 from hemlockhall_router.process.setting import BoundsSection
 from hemlockhall_router.process.timing import Timing
-from hemlockhall_router.request.running import Running
+from hemlockhall_router.request.active_stream import ActiveStream
 from hemlockhall_router.version.endpoint import Endpoint
 from hemlockhall_standins.router.dialect import StandinDialect
 
@@ -27,10 +27,10 @@
     return made
 
 
-def silent(directory: Directory) -> Running:
-    running = Running(["p1", "p2", "p3"], QUIET_S, movable=True)
-    running.heard(QUIET_S)
-    running.heard_at -= 10 * QUIET_S
+def silent(directory: Directory) -> ActiveStream:
+    running = ActiveStream(["p1", "p2", "p3"], QUIET_S, movable=True)
+    running.record_event(QUIET_S)
+    running.last_event_at -= 10 * QUIET_S
     directory.active_streams.add(running)
     return running
 
@@ -51,7 +51,7 @@
         ].last_event_at = now
         prober._find_silent()
         assert prober._due() == ["p2"]
-        assert running.doubted
+        assert running.probe_requested
 
     def test_a_stream_that_waits_at_living_endpoints_is_looked_at_again(
         self, directory: Directory
@@ -66,7 +66,7 @@
         directory.records["p2"].last_event_at = now - 10 * QUIET_S
         prober._find_silent()
         assert prober._due() == ["p2"]
-        assert running.doubted
+        assert running.probe_requested
 
 
 class TestOwnDelay:
@@ -80,7 +80,7 @@
         prober._note_delay()
         prober._find_silent()
         assert prober._due() == []
-        assert not running.doubted
+        assert not running.probe_requested
         prober._awake_at -= 10 * QUIET_S
         prober._find_silent()
         assert set(prober._due()) == {"p1", "p2", "p3"}
--- a/tests/router/test_stream.py
+++ b/tests/router/test_stream.py
@@ -11,7 +11,7 @@
 
 from hemlockhall_router.connection.error import ConnectionLostError
 from hemlockhall_router.process.store import Table
-from hemlockhall_router.request.stream import RESTORE_S
+from hemlockhall_router.request.stream import PATH_RESTORE_WAIT_S
 from hemlockhall_standins.router.dialect import RouteRow
 from hemlockhall_standins.router.endpoint import (
     Arrival,
@@ -81,7 +81,9 @@
             group.start_soon(ask)
             record = directory.records["p1"]
             await h.until(lambda: record.active_streams)
-            await h.until(lambda: all(run.began for run in record.active_streams))
+            await h.until(
+                lambda: all(run.first_event_seen for run in record.active_streams)
+            )
             other = await h.endpoint("p2", other_script, **ALL)
             h.enter(first, "pool", draining=True, layers=(0, 8), accelerator="big")
             await h.until(lambda: record.next_move_deadline is not None)
@@ -250,7 +252,9 @@
             async with anyio.create_task_group() as group:
                 group.start_soon(ask)
                 record = directory.records["p0"]
-                await h.until(lambda: any(run.began for run in record.active_streams))
+                await h.until(
+                    lambda: any(run.first_event_seen for run in record.active_streams)
+                )
                 pool.append(await h.endpoint("p1", cut, **fixed))
                 pool.append(await h.endpoint("p2", cut, **fixed))
                 directory.set_down("p0", down=True)
@@ -290,7 +294,9 @@
             async with anyio.create_task_group() as group:
                 group.start_soon(ask)
                 record = directory.records["p0"]
-                await h.until(lambda: any(run.began for run in record.active_streams))
+                await h.until(
+                    lambda: any(run.first_event_seen for run in record.active_streams)
+                )
                 pool.append(await h.endpoint("p1", cut, **fixed))
                 pool.append(await h.endpoint("p2", cut, **fixed))
                 h.store.remove(Table.ENDPOINTS, "p0")
@@ -467,7 +473,7 @@
                 group.start_soon(ask)
                 await h.until(lambda: record.active_streams)
                 record.backoff_deadline = float("inf")
-                await anyio.sleep(RESTORE_S + 0.2)
+                await anyio.sleep(PATH_RESTORE_WAIT_S + 0.2)
                 broken.set()
                 await anyio.sleep(0.3)
                 record.backoff_deadline = 0.0
@@ -488,10 +494,12 @@
             async with anyio.create_task_group() as group:
                 group.start_soon(ask)
                 await h.until(lambda: record.active_streams)
-                await h.until(lambda: all(run.began for run in record.active_streams))
+                await h.until(
+                    lambda: all(run.first_event_seen for run in record.active_streams)
+                )
                 record.backoff_deadline = float("inf")
                 broken.set()
-                await anyio.sleep(RESTORE_S * 2)
+                await anyio.sleep(PATH_RESTORE_WAIT_S * 2)
                 record.backoff_deadline = 0.0
             assert bodies == [WHOLE]
 
@@ -605,7 +613,9 @@
                 group.start_soon(ask)
                 record = h.routers[0].directory.records["p1"]
                 await h.until(lambda: record.active_streams)
-                await h.until(lambda: all(run.began for run in record.active_streams))
+                await h.until(
+                    lambda: all(run.first_event_seen for run in record.active_streams)
+                )
                 broken.set()
                 await anyio.sleep(0.3)
                 budget.constant = constant
@@ -637,7 +647,9 @@
                 group.start_soon(ask)
                 record = directory.records["p1"]
                 await h.until(lambda: record.active_streams)
-                await h.until(lambda: all(run.began for run in record.active_streams))
+                await h.until(
+                    lambda: all(run.first_event_seen for run in record.active_streams)
+                )
                 other = await h.endpoint("p2", write, **ALL)
                 h.enter(first, "pool", draining=True, layers=(0, 8), accelerator="big")
                 await h.until(lambda: record.next_move_deadline is not None)
@@ -703,5 +715,5 @@
             router.budget.ratio = router.budget.constant = 0.0
             answer = await h.ask("/draft/x", method="POST")
             assert answer.head.status == 503
-            text = router.frontend._tools.metrics.render().decode()
+            text = router.frontend._context.metrics.render().decode()
             assert 'refusals_total{label="retry_budget"} 1' in text
