--- a/packages/router/src/hemlockhall_router/membership/count.py
+++ b/packages/router/src/hemlockhall_router/membership/count.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from hemlockhall_router.membership.message import Place
+    from hemlockhall_router.membership.message import DataCentre
 
 # Hosts assumed until others are heard: a host that believed itself alone would
 # spend the whole allowance of repeats.
@@ -30,7 +30,7 @@
         """Take the number of entries in the table of hosts."""
         self._least = max(1, hosts)
 
-    def hosts(self, places: list[Place], now: float) -> int:
+    def hosts(self, places: list[DataCentre], now: float) -> int:
         """Return the most hosts that may be there."""
         for place in places:
             most, deadline = self._most.get(place.name, (0, 0.0))
--- a/packages/router/src/hemlockhall_router/membership/exchange.py
+++ b/packages/router/src/hemlockhall_router/membership/exchange.py
@@ -11,18 +11,18 @@
 
 from hemlockhall_router.membership.message import (
     Contact,
-    Copy,
+    DataCentre,
     Digest,
-    Fact,
+    LayerUpdate,
     Load,
     Message,
-    Place,
     Report,
+    RetryUsage,
     Summary,
-    Usage,
+    TableVersion,
 )
 from hemlockhall_router.membership.roster import HUBS, Roster
-from hemlockhall_router.membership.tally import add_up, add_usage, aged, busiest
+from hemlockhall_router.membership.tally import add_up, aged, busiest, sum_usage
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -46,18 +46,18 @@
 
 
 @dataclass(slots=True)
-class Own:
+class LocalState:
     """What this host says of itself."""
 
     fence: int = 0
-    steady: bool = False
+    store_stable: bool = False
     leaving: bool = False
-    cut: bool = False
+    store_unreachable: bool = False
     loads: list[Load] = field(default_factory=list)
     down: list[int] = field(default_factory=list)
-    shut: list[int] = field(default_factory=list)
-    facts: list[Fact] = field(default_factory=list)
-    usage: list[Usage] = field(default_factory=list)
+    presumed_draining: list[int] = field(default_factory=list)
+    layer_updates: list[LayerUpdate] = field(default_factory=list)
+    usage: list[RetryUsage] = field(default_factory=list)
 
 
 @dataclass(slots=True)
@@ -84,7 +84,7 @@
     timing : Timing
         Interval of rounds, and silence from which a host counts as dead.
     describe : callable
-        Returns this host's ``Own``; asked in each round.
+        Returns this host's ``LocalState``; asked in each round.
     copies : callable
         Returns how far its copies of tables are.
     send : callable
@@ -98,8 +98,8 @@
         own: Contact,
         seeds: list[str],
         timing: Timing,
-        describe: Callable[[], Own],
-        copies: Callable[[], list[Copy]],
+        describe: Callable[[], LocalState],
+        copies: Callable[[], list[TableVersion]],
         send: Callable[[str, Message], None],
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
@@ -109,7 +109,7 @@
         self._describe = describe
         self._copies = copies
         self._send = send
-        self._said = Own()
+        self._said = LocalState()
         self._clock = clock
         self._reports: dict[str, _Heard[Report]] = {}
         self._digests: dict[str, _Heard[Digest]] = {}
@@ -129,14 +129,14 @@
         if address != self.own.address and address not in self._seeds:
             self._seeds.append(address)
 
-    def round(self) -> None:
+    def run_round(self) -> None:
         """Tell others what is due."""
         now = self._clock()
         own = self._said = self._describe()
-        self.roster.tell(leaving=own.leaving, cut=own.cut)
+        self.roster.tell(leaving=own.leaving, cut=own.store_unreachable)
         self._expire(now)
         report = self._report()
-        hubs = self.roster.hubs(self.own.place, now)
+        hubs = self.roster.hubs(self.own.data_centre, now)
         for contact in hubs:
             if contact.name != self.own.name:
                 self.roster.asked(contact.name, now)
@@ -161,7 +161,7 @@
             self._send(report.sender.address, self._digest(report, now))
         self._summarise(now)
 
-    def heard(self, message: Message) -> None:
+    def receive(self, message: Message) -> None:
         """Take a message, and answer it if it is a report."""
         now = self._clock()
         sender = message.sender
@@ -174,10 +174,10 @@
             self.roster.relayed(contact, now)
         deadline = now + self._timing.host_timeout_s
         if isinstance(message, Report):
-            if sender.place == self.own.place:
+            if sender.data_centre == self.own.data_centre:
                 self._reports[sender.name] = _Heard(message, now, deadline)
             self._answer(message, now, whole=new)
-        elif isinstance(message, Digest) and sender.place == self.own.place:
+        elif isinstance(message, Digest) and sender.data_centre == self.own.data_centre:
             self._digests[sender.name] = _Heard(message, now, deadline)
         elif isinstance(message, Summary):
             key = (message.place.name, sender.name)
@@ -188,7 +188,7 @@
             deadline += self._timing.host_timeout_s
             self._summaries[key] = _Heard(message, now, deadline)
 
-    def places(self) -> list[Place]:
+    def data_centres(self) -> list[DataCentre]:
         """Return all data centres that are heard of, with this host's own.
 
         A hub that has just started hears of other data centres, and of some
@@ -201,7 +201,7 @@
                 continue
             for place in heard.message.places:
                 known = found.get(place.name)
-                own = place.name == self.own.place
+                own = place.name == self.own.data_centre
                 if known is None or (own and place.hosts > known.hosts):
                     found[place.name] = place
         return list(found.values())
@@ -214,7 +214,7 @@
         latest = self._latest(now)
         return {load.endpoint: load for load in latest.loads(now)} if latest else {}
 
-    def another_steady(self) -> bool:
+    def peer_store_stable(self) -> bool:
         """Return whether another host says that it had the store all the while."""
         now = self._clock()
         if any(heard.message.steady for heard in self._reports.values()):
@@ -226,7 +226,7 @@
             return False
         return any(place.steady for place in latest.message.places)
 
-    def follows(self) -> bool:
+    def is_store_watcher(self) -> bool:
         """Return whether this host is one of those that follow the store.
 
         The first host of each data centre is; the second one too while there
@@ -238,14 +238,16 @@
     def followers(self) -> int:
         """Return how many hosts follow the store."""
         each = self._followers_each()
-        return sum(min(each, place.hosts) for place in self.places())
+        return sum(min(each, place.hosts) for place in self.data_centres())
 
     def _followers_each(self) -> int:
-        return 1 if len(self.places()) >= FOLLOWERS else HUBS
+        return 1 if len(self.data_centres()) >= FOLLOWERS else HUBS
 
     def _answer(self, report: Report, now: float, *, whole: bool) -> None:
         """Answer a report; a host that is new here gets all contacts at once."""
-        count = len(self.roster.contacts(report.sender.place, now)) if whole else 0
+        count = (
+            len(self.roster.contacts(report.sender.data_centre, now)) if whole else 0
+        )
         for _ in range(1 + count // CONTACTS):
             self._send(report.sender.address, self._digest(report, now))
 
@@ -253,14 +255,14 @@
         own = self._said
         return Report(
             sender=self.own,
-            copies=self._copies(),
+            table_versions=self._copies(),
             loads=busiest(own.loads),
             down=own.down[:DOWN],
-            shut=own.shut[:DOWN],
-            facts=own.facts[:FACTS],
+            presumed_draining=own.presumed_draining[:DOWN],
+            layer_updates=own.layer_updates[:FACTS],
             contacts=[],
             fence=own.fence,
-            steady=own.steady,
+            steady=own.store_stable,
             usage=own.usage,
         )
 
@@ -269,19 +271,19 @@
         if self.roster.is_hub(now):
             loads = [*own.loads, *self._loads(receiver.name, now)]
             down = [*own.down, *self._down(now)]
-            shut = [*own.shut, *self._shut(now)]
+            shut = [*own.presumed_draining, *self._shut(now)]
         else:
             latest = self._latest(now)
             loads = [*own.loads, *(latest.loads(now) if latest else ())]
-            down, shut = own.down, own.shut
+            down, shut = own.down, own.presumed_draining
         return Digest(
             sender=self.own,
-            copies=self._copies(),
+            table_versions=self._copies(),
             loads=busiest(add_up(loads).values()),
             down=_first(down),
-            shut=_first(shut),
-            facts=own.facts[:FACTS],
-            contacts=self._some(receiver.place, receiver.name, now),
+            presumed_draining=_first(shut),
+            layer_updates=own.layer_updates[:FACTS],
+            contacts=self._some(receiver.data_centre, receiver.name, now),
             places=self._places(now),
         )
 
@@ -289,23 +291,23 @@
         """Tell the hubs of the other data centres about this one."""
         place = self._own_place()
         loads = [*self._said.loads]
-        down, shut = [*self._said.down], [*self._said.shut]
+        down, shut = [*self._said.down], [*self._said.presumed_draining]
         for heard in self._reports.values():
             loads += heard.loads(now)
             down += heard.message.down
-            shut += heard.message.shut
+            shut += heard.message.presumed_draining
         loads = busiest(add_up(loads).values())
         for name in self.roster.places(now):
-            if name == self.own.place:
+            if name == self.own.data_centre:
                 continue
             for contact in self.roster.hubs(name, now):
                 message = Summary(
                     sender=self.own,
-                    copies=self._copies(),
+                    table_versions=self._copies(),
                     loads=loads,
                     down=_first(down),
-                    shut=_first(shut),
-                    facts=self._said.facts[:FACTS],
+                    presumed_draining=_first(shut),
+                    layer_updates=self._said.layer_updates[:FACTS],
                     contacts=self._some(name, contact.name, now),
                     place=place,
                 )
@@ -324,7 +326,7 @@
             others = (others[self._turn :] + others[: self._turn])[:CONTACTS]
         return first + others
 
-    def _places(self, now: float) -> list[Place]:
+    def _places(self, now: float) -> list[DataCentre]:
         """Return what this host passes on; never what a fellow hub had from it."""
         if not self.roster.is_hub(now):
             latest = self._latest(now)
@@ -332,11 +334,11 @@
                 return latest.message.places
         return [self._own_place(), *(s.message.place for s in self._foreign(now))]
 
-    def _own_place(self) -> Place:
+    def _own_place(self) -> DataCentre:
         own = self._said
         hosts, staying = 1, 0 if own.leaving else 1
         first = "" if own.leaving else self.own.name
-        fence, steady = own.fence, own.steady
+        fence, steady = own.fence, own.store_stable
         usage = [*own.usage]
         for heard in self._reports.values():
             report = heard.message
@@ -348,8 +350,8 @@
                 continue
             staying += 1
             first = min(first or report.sender.name, report.sender.name)
-        return Place(
-            self.own.place, hosts, staying, first, fence, steady, add_usage(usage)
+        return DataCentre(
+            self.own.data_centre, hosts, staying, first, fence, steady, sum_usage(usage)
         )
 
     def _foreign(self, now: float) -> list[_Heard[Summary]]:
@@ -366,7 +368,7 @@
         found: dict[str, _Heard[Summary]] = {}
         for heard in self._summaries.values():
             place = heard.message.place
-            if place.name == self.own.place:
+            if place.name == self.own.data_centre:
                 continue
             known = found.get(place.name)
             if known is None or rank(heard) > rank(known):
@@ -393,14 +395,14 @@
     def _shut(self, now: float) -> list[int]:
         shut: list[int] = []
         for report in self._reports.values():
-            shut += report.message.shut
+            shut += report.message.presumed_draining
         for summary in self._foreign(now):
-            shut += summary.message.shut
+            shut += summary.message.presumed_draining
         return shut
 
     def _latest(self, now: float) -> _Heard[Digest] | None:
         """Return the digest of the best hub that answers, or None."""
-        for contact in self.roster.hubs(self.own.place, now):
+        for contact in self.roster.hubs(self.own.data_centre, now):
             heard = self._digests.get(contact.name)
             if heard is not None and now < heard.deadline:
                 return heard
@@ -438,5 +440,5 @@
 
 __all__ = [
     "Exchange",
-    "Own",
+    "LocalState",
 ]
--- a/packages/router/src/hemlockhall_router/membership/hosts.py
+++ b/packages/router/src/hemlockhall_router/membership/hosts.py
@@ -23,13 +23,13 @@
 from hemlockhall_router.membership.count import Count
 from hemlockhall_router.membership.exchange import Exchange
 from hemlockhall_router.membership.message import (
-    Copy,
     Message,
     MessageError,
+    TableVersion,
     decode,
     encode,
 )
-from hemlockhall_router.membership.tally import add_usage
+from hemlockhall_router.membership.tally import sum_usage
 from hemlockhall_router.process.store import (
     Row,
     Store,
@@ -43,8 +43,13 @@
 
     from anyio.abc import SocketStream, TaskGroup, UDPSocket
 
-    from hemlockhall_router.membership.exchange import Own
-    from hemlockhall_router.membership.message import Contact, Fact, Load, Usage
+    from hemlockhall_router.membership.exchange import LocalState
+    from hemlockhall_router.membership.message import (
+        Contact,
+        LayerUpdate,
+        Load,
+        RetryUsage,
+    )
     from hemlockhall_router.process.metric import Metrics
     from hemlockhall_router.process.timing import Timing
     from hemlockhall_router.process.watch import Watch
@@ -74,7 +79,7 @@
     address: str
 
 
-class Hosts:
+class Membership:
     """Messages from and to the other hosts.
 
     Parameters
@@ -105,10 +110,10 @@
         seeds: list[str],
         store: Store,
         timing: Timing,
-        describe: Callable[[], Own],
+        describe: Callable[[], LocalState],
         suspect: Callable[[list[int]], None],
         shut: Callable[[list[int]], None],
-        learn: Callable[[list[Fact]], None],
+        learn: Callable[[list[LayerUpdate]], None],
         metrics: Metrics,
     ) -> None:
         self._own = own
@@ -131,7 +136,7 @@
         self._bad_at = float("-inf")
         self._group: TaskGroup | None = None
 
-    def passes_on(self, watch: Watch) -> None:
+    def share_table(self, watch: Watch) -> None:
         """Fetch from others what a copy lacks, and hand it over to them."""
         self._watches[watch.table.value] = watch
 
@@ -155,14 +160,14 @@
 
         Those that follow it do, and a host to which nobody confirms its copies.
         """
-        if self._exchange.follows() or not self._known():
+        if self._exchange.is_store_watcher() or not self._known():
             return True
         oldest = time.monotonic() - self._timing.max_staleness_s * self._patience
         return any(watch.complete_as_of < oldest for watch in self._watches.values())
 
     def is_store_watcher(self) -> bool:
         """Return whether others rely on what this host gets from the store."""
-        return self._exchange.follows()
+        return self._exchange.is_store_watcher()
 
     def long_poll_s(self) -> float:
         """Return for how long one call for changes waits at the store.
@@ -170,12 +175,12 @@
         The calls of all that follow it confirm the copies of the others
         several times before one of them grows stale.
         """
-        if not self.heard():
+        if not self.has_live_peers():
             return self._timing.long_poll_alone_s
         followers = self._exchange.followers()
-        if followers >= self.count():
+        if followers >= self.host_count():
             return self._timing.long_poll_s
-        if not self._exchange.follows():
+        if not self._exchange.is_store_watcher():
             return 0.0
         shared_s = self._timing.max_staleness_s * followers / CONFIRMATIONS
         return min(self._timing.long_poll_s, shared_s)
@@ -184,65 +189,65 @@
         """Return whether this host has copies, and hears where newer ones are."""
         if any(watch.version == 0 for watch in self._watches.values()):
             return False
-        return self.heard()
+        return self.has_live_peers()
 
     @property
-    def hub(self) -> bool:
+    def is_hub(self) -> bool:
         """Whether this host is a hub of its data centre."""
         return self._exchange.roster.is_hub(time.monotonic())
 
-    def heard(self) -> bool:
+    def has_live_peers(self) -> bool:
         """Return whether another host is heard."""
         return bool(self._exchange.roster.live(time.monotonic()))
 
-    def count(self) -> int:
+    def host_count(self) -> int:
         """Return the most hosts that may be there, with this one."""
-        return self._count.hosts(self._exchange.places(), time.monotonic())
+        return self._count.hosts(self._exchange.data_centres(), time.monotonic())
 
-    def usage(self) -> tuple[int, list[Usage]]:
+    def retry_usage(self) -> tuple[int, list[RetryUsage]]:
         """Return how many hosts are heard of, and their use of the retry budget."""
-        places = self._exchange.places()
+        places = self._exchange.data_centres()
         usage = [item for place in places for item in place.usage]
-        return sum(place.hosts for place in places), add_usage(usage)
+        return sum(place.hosts for place in places), sum_usage(usage)
 
-    def sharers(self) -> int:
+    def data_centre_link_sharers(self) -> int:
         """Return the number of hosts that share a pipe between two data centres."""
-        return min(self.count(), 2 * self.near())
+        return min(self.host_count(), 2 * self.local_host_count())
 
-    def near(self) -> int:
+    def local_host_count(self) -> int:
         """Return the number of hosts in this data centre, with this one."""
-        for place in self._exchange.places():
-            if place.name == self._own.place:
+        for place in self._exchange.data_centres():
+            if place.name == self._own.data_centre:
                 return max(1, place.hosts)
         return 1
 
-    def loads(self) -> dict[int, Load]:
+    def peer_loads(self) -> dict[int, Load]:
         """Return the other hosts' loads by the endpoint's key."""
         return self._exchange.loads()
 
-    def fence(self) -> int:
+    def newest_fence(self) -> int:
         """Return the newest planning lease that a live host claims."""
-        return max(place.fence for place in self._exchange.places())
+        return max(place.fence for place in self._exchange.data_centres())
 
-    def another_steady(self) -> bool:
+    def peer_store_stable(self) -> bool:
         """Return whether a live host has had the store all the while."""
-        return self._exchange.another_steady()
+        return self._exchange.peer_store_stable()
 
-    def staying(self) -> bool:
+    def has_active_peer(self) -> bool:
         """Return whether another host is heard that does not leave."""
         own = 0 if self._exchange.own.leaving else 1
-        return sum(place.staying for place in self._exchange.places()) > own
+        return sum(place.staying for place in self._exchange.data_centres()) > own
 
-    def first(self) -> bool:
+    def has_lowest_name(self) -> bool:
         """Return whether this host's name is the first of those that stay."""
-        names = [place.first for place in self._exchange.places() if place.first]
+        names = [place.first for place in self._exchange.data_centres() if place.first]
         return not names or self._own.name <= min(names)
 
-    def changed(self) -> None:
+    def push(self) -> None:
         """Tell the others at once that a copy of a table is newer."""
         self._exchange.push()
 
-    def _copies(self) -> list[Copy]:
+    def _copies(self) -> list[TableVersion]:
         return [copy_of(watch) for watch in self._watches.values()]
 
     def _post(self, address: str, message: Message) -> None:
@@ -251,7 +256,7 @@
 
     async def _rounds(self) -> None:
         while True:
-            self._exchange.round()
+            self._exchange.run_round()
             await anyio.sleep(self._timing.gossip_interval_s)
 
     async def _send(self, udp: UDPSocket) -> None:
@@ -280,13 +285,13 @@
             except MessageError as exc:
                 self._bad(str(exc))
                 continue
-            self._exchange.heard(message)
+            self._exchange.receive(message)
             if message.down:
                 self._suspect(message.down)
-            if message.shut:
-                self._shut(message.shut)
-            if message.facts:
-                self._learn(message.facts)
+            if message.presumed_draining:
+                self._shut(message.presumed_draining)
+            if message.layer_updates:
+                self._learn(message.layer_updates)
             self._compare(message)
 
     def _bad(self, cause: str) -> None:
@@ -299,11 +304,13 @@
     def _compare(self, message: Message) -> None:
         """Fetch from the sender what its copies have newer."""
         now = time.monotonic()
-        for copy in message.copies:
+        for copy in message.table_versions:
             watch = self._watches.get(copy.table)
             if watch is None:
                 continue
-            if not watch.confirm(copy.changed, copy.complete, now - copy.age_ms / 1000):
+            if not watch.confirm(
+                copy.last_change, copy.complete_to, now - copy.age_ms / 1000
+            ):
                 self._behind.pop(copy.table, None)
                 continue
             since = self._behind.setdefault(copy.table, now)
@@ -381,7 +388,7 @@
                 deadline = time.monotonic() + 1.0
                 if version is None:
                     version = await self._enter(deadline)
-                if not known or not self.heard():
+                if not known or not self.has_live_peers():
                     page = await self._store.read(Table.HOSTS, deadline)
                     for row in page.rows:
                         self._meet(row)
@@ -418,14 +425,14 @@
             self._exchange.meet(entry.address)
 
 
-def copy_of(watch: Watch) -> Copy:
+def copy_of(watch: Watch) -> TableVersion:
     """Return how far a copy is, as a message says it."""
     age_s = time.monotonic() - watch.complete_as_of
     age_ms = int(min(age_s, AGE_MAX_S) * 1000)
-    return Copy(watch.table.value, watch.last_change, watch.version, age_ms)
+    return TableVersion(watch.table.value, watch.last_change, watch.version, age_ms)
 
 
 __all__ = [
-    "Hosts",
+    "Membership",
     "copy_of",
 ]
--- a/packages/router/src/hemlockhall_router/membership/message.py
+++ b/packages/router/src/hemlockhall_router/membership/message.py
@@ -26,74 +26,74 @@
     """A host as others can reach it.
 
     ``capacity`` ranks hosts, ``boot`` names this run of its process, ``age_ms`` is
-    the time since the sender knew that it lives. ``cut`` tells that the store does
-    not answer it.
+    the time since the sender knew that it lives. ``store_unreachable`` tells that
+    the store does not answer it.
     """
 
     name: str
     address: str
-    place: str
+    data_centre: str
     capacity: int
     boot: str
     leaving: bool = False
     age_ms: int = 0
-    cut: bool = False
+    store_unreachable: bool = False
 
 
-class Copy(msgspec.Struct, frozen=True, array_like=True):
+class TableVersion(msgspec.Struct, frozen=True, array_like=True):
     """How far a host's copy of a table of the store is.
 
-    ``changed`` is the version of the newest change in it and ``complete`` the
+    ``last_change`` is the version of the newest change in it and ``complete_to`` the
     version up to which no change is missing. The store, or a host that had it
     from there, said so ``age_ms`` ago.
     """
 
     table: str
-    changed: int
-    complete: int
+    last_change: int
+    complete_to: int
     age_ms: int
 
 
 class Load(msgspec.Struct, frozen=True, array_like=True):
     """Requests at an endpoint, named by its key.
 
-    ``tokens`` are those of the requests and ``unread`` those of requests
-    without an event so far; an event came through it ``heard_ms`` ago.
+    ``tokens`` are those of the requests and ``prefill_tokens`` those of requests
+    without an event so far; an event came through it ``event_age_ms`` ago.
     """
 
     endpoint: int
     requests: int
     tokens: int
-    unread: int
-    heard_ms: int
+    prefill_tokens: int
+    event_age_ms: int
 
 
-class Fact(msgspec.Struct, frozen=True, array_like=True):
+class LayerUpdate(msgspec.Struct, frozen=True, array_like=True):
     """The layers of an endpoint, newer than what the store says of it.
 
-    ``born`` names its run, and ``orders`` counts the orders that it began; the
-    higher number is the newer fact.
+    ``started_ms`` names its run, and ``order_count`` counts the orders that it began;
+    the higher number is the newer fact.
     """
 
     endpoint: int
-    born: int
-    orders: int
+    started_ms: int
+    order_count: int
     first: int
     end: int
 
 
-class Usage(msgspec.Struct, frozen=True, array_like=True):
+class RetryUsage(msgspec.Struct, frozen=True, array_like=True):
     """Requests for a service and repeats in the window of the retry budget.
 
-    ``repeats`` includes what is kept for the hosts concerned, used or not.
+    ``retries`` includes what is kept for the hosts concerned, used or not.
     """
 
     service: int
     requests: int
-    repeats: int
+    retries: int
 
 
-class Place(msgspec.Struct, frozen=True, array_like=True):
+class DataCentre(msgspec.Struct, frozen=True, array_like=True):
     """The hosts of a data centre together.
 
     ``staying`` counts those that do not leave, and ``first`` is the lowest of
@@ -108,25 +108,25 @@
     first: str
     fence: int
     steady: bool
-    usage: list[Usage] = []
+    usage: list[RetryUsage] = []
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
     """What each message carries.
 
     ``loads`` are the sender's own, or those of the hosts that it speaks for.
-    ``down`` holds keys of endpoints that do not answer, ``shut`` of those that
-    seem to leave, ``facts`` layers that the store does not tell yet,
+    ``down`` holds keys of endpoints that do not answer, ``presumed_draining`` of those
+    that seem to leave, ``layer_updates`` layers that the store does not tell yet,
     ``contacts`` hosts that the receiver may not know.
     """
 
     protocol: int = PROTOCOL
     sender: Contact
-    copies: list[Copy]
+    table_versions: list[TableVersion]
     loads: list[Load]
     down: list[int]
-    shut: list[int]
-    facts: list[Fact]
+    presumed_draining: list[int]
+    layer_updates: list[LayerUpdate]
     contacts: list[Contact]
 
 
@@ -135,19 +135,19 @@
 
     fence: int
     steady: bool
-    usage: list[Usage] = []
+    usage: list[RetryUsage] = []
 
 
 class Digest(Message, frozen=True, array_like=True, kw_only=True, tag="digest"):
     """The answer to a report: about all others."""
 
-    places: list[Place]
+    places: list[DataCentre]
 
 
 class Summary(Message, frozen=True, array_like=True, kw_only=True, tag="summary"):
     """A hub to the hubs of another data centre: about its own."""
 
-    place: Place
+    place: DataCentre
 
 
 _encoder = msgspec.msgpack.Encoder()
@@ -199,16 +199,16 @@
     "DATAGRAM_BYTES",
     "PROTOCOL",
     "Contact",
-    "Copy",
+    "TableVersion",
     "Digest",
-    "Fact",
+    "LayerUpdate",
     "Load",
     "Message",
     "MessageError",
-    "Place",
+    "DataCentre",
     "Report",
     "Summary",
-    "Usage",
+    "RetryUsage",
     "decode",
     "encode",
     "endpoint_key",
--- a/packages/router/src/hemlockhall_router/membership/roster.py
+++ b/packages/router/src/hemlockhall_router/membership/roster.py
@@ -56,9 +56,11 @@
 
     def tell(self, *, leaving: bool, cut: bool) -> None:
         """Note what changed about this host; another one takes its part then."""
-        if (leaving, cut) == (self.own.leaving, self.own.cut):
+        if (leaving, cut) == (self.own.leaving, self.own.store_unreachable):
             return
-        self.own = msgspec.structs.replace(self.own, leaving=leaving, cut=cut)
+        self.own = msgspec.structs.replace(
+            self.own, leaving=leaving, store_unreachable=cut
+        )
         self._view_deadline = float("-inf")
 
     def direct(self, contact: Contact, now: float) -> bool:
@@ -123,7 +125,7 @@
             asked_at = member.asked_at
             if asked_at is None or now - asked_at <= self._timing.host_timeout_s:
                 found.append(member.contact)
-        if place == self.own.place:
+        if place == self.own.data_centre:
             found.append(self.own)
         self._hubs[place] = sorted(found, key=_rank)[:HUBS]
         return self._hubs[place]
@@ -134,15 +136,17 @@
         One that the store turns away hands over to the next; if it turns all
         away, the first ones go on trying.
         """
-        contacts = [m.contact for m in self._by_place(now).get(self.own.place, [])]
+        contacts = [
+            m.contact for m in self._by_place(now).get(self.own.data_centre, [])
+        ]
         contacts.append(self.own)
         ordered = sorted(contacts, key=_rank)
-        sound = [contact for contact in ordered if not contact.cut]
+        sound = [contact for contact in ordered if not contact.store_unreachable]
         return [contact.name for contact in (sound or ordered)[:count]]
 
     def is_hub(self, now: float) -> bool:
         """Return whether this host is a hub of its data centre."""
-        hubs = self.hubs(self.own.place, now)
+        hubs = self.hubs(self.own.data_centre, now)
         return any(contact.name == self.own.name for contact in hubs)
 
     def lost(self, now: float) -> list[Member]:
@@ -174,7 +178,7 @@
         dead_s = self._timing.host_timeout_s
         for member in self.members.values():
             if now - member.heard_at < dead_s:
-                self._view.setdefault(member.contact.place, []).append(member)
+                self._view.setdefault(member.contact.data_centre, []).append(member)
         return self._view
 
     def forget(self, now: float) -> list[Contact]:
--- a/packages/router/src/hemlockhall_router/membership/tally.py
+++ b/packages/router/src/hemlockhall_router/membership/tally.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from hemlockhall_router.membership.message import Load, Usage
+from hemlockhall_router.membership.message import Load, RetryUsage
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -12,7 +12,7 @@
 # Endpoints in one message; the busiest, as a datagram has a limit.
 LOADS = 64
 # Milliseconds that stand for an endpoint through which nothing was heard.
-UNHEARD_MS = 60_000
+MAX_EVENT_AGE_MS = 60_000
 
 
 def add_up(loads: Iterable[Load]) -> dict[int, Load]:
@@ -27,8 +27,8 @@
             load.endpoint,
             old.requests + load.requests,
             old.tokens + load.tokens,
-            old.unread + load.unread,
-            min(old.heard_ms, load.heard_ms),
+            old.prefill_tokens + load.prefill_tokens,
+            min(old.event_age_ms, load.event_age_ms),
         )
     return sums
 
@@ -40,23 +40,25 @@
         return list(loads)
     found = []
     for load in loads:
-        heard_ms = min(UNHEARD_MS, load.heard_ms + age_ms)
+        heard_ms = min(MAX_EVENT_AGE_MS, load.event_age_ms + age_ms)
         found.append(
-            Load(load.endpoint, load.requests, load.tokens, load.unread, heard_ms)
+            Load(
+                load.endpoint, load.requests, load.tokens, load.prefill_tokens, heard_ms
+            )
         )
     return found
 
 
-def add_usage(usages: Iterable[Usage]) -> list[Usage]:
+def sum_usage(usages: Iterable[RetryUsage]) -> list[RetryUsage]:
     """Return the sum of the use of the retry budget for each service."""
-    sums: dict[int, Usage] = {}
+    sums: dict[int, RetryUsage] = {}
     for usage in usages:
         old = sums.get(usage.service)
         if old is not None:
-            usage = Usage(
+            usage = RetryUsage(
                 usage.service,
                 old.requests + usage.requests,
-                old.repeats + usage.repeats,
+                old.retries + usage.retries,
             )
         sums[usage.service] = usage
     return list(sums.values())
@@ -70,9 +72,9 @@
 
 __all__ = [
     "LOADS",
-    "UNHEARD_MS",
+    "MAX_EVENT_AGE_MS",
     "add_up",
-    "add_usage",
+    "sum_usage",
     "aged",
     "busiest",
 ]
--- a/packages/router/src/hemlockhall_router/process/budget.py
+++ b/packages/router/src/hemlockhall_router/process/budget.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from hemlockhall_router.membership.message import Usage, service_key
+from hemlockhall_router.membership.message import RetryUsage, service_key
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -65,7 +65,7 @@
         constant: float,
         window_s: float,
         hosts: Callable[[], int],
-        shared: Callable[[], tuple[int, list[Usage]]],
+        shared: Callable[[], tuple[int, list[RetryUsage]]],
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self.ratio = ratio
@@ -92,7 +92,7 @@
         _count(counts.repeats, self._bucket())
         return True
 
-    def usage(self) -> list[Usage]:
+    def usage(self) -> list[RetryUsage]:
         """Return what this host tells the others of its use of the budget."""
         found = []
         for service in self._services:
@@ -100,7 +100,7 @@
             kept = self._kept(self._share(service))
             repeats = max(sum(counts.repeats.values()), round(kept))
             requests = sum(counts.requests.values())
-            found.append(Usage(service_key(service), requests, repeats))
+            found.append(RetryUsage(service_key(service), requests, repeats))
         return found
 
     def _kept(self, share: float) -> float:
@@ -132,21 +132,21 @@
         # What it told the others may not have come back yet.
         requests = max(everyone.requests, sum(counts.requests.values()))
         spent = max(sum(counts.repeats.values()), self._kept(share))
-        spent = max(everyone.repeats, spent)
+        spent = max(everyone.retries, spent)
         part = heard / max(heard, self._hosts())
         allowance = SAFETY_FACTOR * (self.ratio * requests + self.constant * part)
         if not allowance:
             return 0.0
         return (allowance - spent) * share / allowance
 
-    def _heard(self, service: str) -> tuple[int, Usage]:
+    def _heard(self, service: str) -> tuple[int, RetryUsage]:
         """Return how many hosts are heard of, and the sum of their use."""
         heard, usages = self._shared()
         key = service_key(service)
         for usage in usages:
             if usage.service == key:
                 return max(1, heard), usage
-        return max(1, heard), Usage(key, 0, 0)
+        return max(1, heard), RetryUsage(key, 0, 0)
 
     def _counts(self, service: str) -> _Counts:
         counts = self._services.setdefault(service, _Counts())
--- a/packages/router/src/hemlockhall_router/process/directory.py
+++ b/packages/router/src/hemlockhall_router/process/directory.py
@@ -9,8 +9,8 @@
 
 from loguru import logger
 
-from hemlockhall_router.membership.message import Fact, Load, endpoint_key
-from hemlockhall_router.membership.tally import UNHEARD_MS
+from hemlockhall_router.membership.message import LayerUpdate, Load, endpoint_key
+from hemlockhall_router.membership.tally import MAX_EVENT_AGE_MS
 from hemlockhall_router.process.addresses import Addresses
 from hemlockhall_router.process.replica_index import ReplicaIndex
 from hemlockhall_router.version.endpoint import LayerRange
@@ -52,7 +52,7 @@
 SHUT_HEARD_S = 1.0
 # Seconds for which a run whose entry is gone may go on: as long as any stream lasts.
 LEFT_S = 30.0
-NO_LOAD = Load(0, 0, 0, 0, UNHEARD_MS)
+NO_LOAD = Load(0, 0, 0, 0, MAX_EVENT_AGE_MS)
 # Latency assumed of an endpoint that has not answered yet, in seconds.
 UNKNOWN_S = 0.1
 
@@ -256,7 +256,7 @@
         record.ahead = False
         return entry
 
-    def layer_updates(self) -> list[Fact]:
+    def layer_updates(self) -> list[LayerUpdate]:
         """Return the layers that the store does not tell yet."""
         found = []
         for record in self.records.values():
@@ -265,7 +265,7 @@
                 continue
             layers = endpoint.layers
             found.append(
-                Fact(
+                LayerUpdate(
                     record.key,
                     endpoint.started_ms,
                     endpoint.order_count,
@@ -275,7 +275,7 @@
             )
         return found
 
-    def apply_layer_updates(self, facts: list[Fact]) -> None:
+    def apply_layer_updates(self, facts: list[LayerUpdate]) -> None:
         """Take layers that another host knows from the endpoints themselves.
 
         While the store is away nobody else learns what the planner's orders
@@ -284,13 +284,13 @@
         by_key = {record.key: record for record in self.records.values()}
         for fact in facts:
             record = by_key.get(fact.endpoint)
-            if record is None or record.endpoint.started_ms != fact.born:
+            if record is None or record.endpoint.started_ms != fact.started_ms:
                 continue
-            if record.endpoint.order_count >= fact.orders:
+            if record.endpoint.order_count >= fact.order_count:
                 continue
             layers = LayerRange(fact.first, fact.end)
             record.endpoint = replace(
-                record.endpoint, order_count=fact.orders, layers=layers
+                record.endpoint, order_count=fact.order_count, layers=layers
             )
             record.ahead = True
             self._bump()
@@ -535,8 +535,8 @@
             load = loads.get(record.key, NO_LOAD)
             record.remote_in_flight = load.requests
             record.remote_tokens = load.tokens
-            record.remote_prefill_tokens = load.unread
-            heard_at = now - load.heard_ms / 1000
+            record.remote_prefill_tokens = load.prefill_tokens
+            heard_at = now - load.event_age_ms / 1000
             record.last_event_at = max(record.last_event_at, heard_at)
             if record.down and heard_at > record.down_at + HEARD_AFTER_S:
                 # It serves others, so the fault was on the way from here.
--- a/packages/router/src/hemlockhall_router/process/leadership.py
+++ b/packages/router/src/hemlockhall_router/process/leadership.py
@@ -8,7 +8,7 @@
 from loguru import logger
 
 if TYPE_CHECKING:
-    from hemlockhall_router.membership.hosts import Hosts
+    from hemlockhall_router.membership.hosts import Membership
     from hemlockhall_router.process.lease import Lease
 
 # Seconds between tries to acquire or renew the lease.
@@ -31,9 +31,9 @@
     endpoint refuses it if that has passed.
     """
 
-    def __init__(self, lease: Lease, hosts: Hosts) -> None:
+    def __init__(self, lease: Lease, membership: Membership) -> None:
         self._lease = lease
-        self._hosts = hosts
+        self._membership = membership
         self._next_take = 0.0
         self._standing_in = False
         self._leaving = False
@@ -41,7 +41,7 @@
     async def holds(self) -> bool:
         """Return whether this host may give orders now."""
         lease, now = self._lease, time.monotonic()
-        rival = self._hosts.fence()
+        rival = self._membership.newest_fence()
         if lease.fence and rival > lease.fence:
             lease.drop("another host holds a newer one")
         if lease.fence:
@@ -49,10 +49,10 @@
                 self._next_take = now + RENEW_AGAIN_S
                 await lease.acquire_or_renew()
             return lease.fence > 0
-        if rival or (self._leaving and self._hosts.staying()):
+        if rival or (self._leaving and self._membership.has_active_peer()):
             self._stand_in(False)
             return False
-        if not self._hosts.hub:
+        if not self._membership.is_hub:
             # Hubs are enough: a try of each host costs a call to the store.
             self._stand_in(False)
             return False
@@ -66,14 +66,14 @@
     async def resign(self) -> None:
         """Leave planning to another host; go on while there is none."""
         self._leaving = True
-        if self._hosts.staying():
+        if self._membership.has_active_peer():
             await self._lease.release()
 
     def _should_stand_in(self, now: float) -> bool:
         silent_since = self._lease.silent_since
         if silent_since is None or now - silent_since < STAND_IN_S:
             return False
-        return self._hosts.first()
+        return self._membership.has_lowest_name()
 
     def _stand_in(self, wanted: bool) -> None:
         if wanted == self._standing_in:
--- a/packages/router/src/hemlockhall_router/process/router.py
+++ b/packages/router/src/hemlockhall_router/process/router.py
@@ -15,10 +15,10 @@
 from hemlockhall_router.connection.error import CallerDisconnectedError, CallerError
 from hemlockhall_router.connection.message import encode_response_head
 from hemlockhall_router.connection.pool import ConnectionPool
-from hemlockhall_router.membership.exchange import Own
-from hemlockhall_router.membership.hosts import Hosts
+from hemlockhall_router.membership.exchange import LocalState
+from hemlockhall_router.membership.hosts import Membership
 from hemlockhall_router.membership.message import Contact, Load
-from hemlockhall_router.membership.tally import UNHEARD_MS
+from hemlockhall_router.membership.tally import MAX_EVENT_AGE_MS
 from hemlockhall_router.policy.data_centre_link import DataCentreLinks
 from hemlockhall_router.process.budget import RetryBudget
 from hemlockhall_router.process.chooser import Chooser
@@ -89,7 +89,7 @@
             host.capacity,
             self._boot,
         )
-        self.hosts = Hosts(
+        self.membership = Membership(
             own,
             settings.seeds,
             self._store,
@@ -103,7 +103,7 @@
         self._routes_watch = self._watch(Table.ROUTING, self._routing_changed)
         self._endpoints_watch = self._watch(Table.ENDPOINTS, self._endpoints_changed)
         self._outage = StoreOutage(
-            self._endpoints_watch, self.hosts.another_steady, self._timing
+            self._endpoints_watch, self.membership.peer_store_stable, self._timing
         )
         self.directory = Directory(
             self._dialect.decode_endpoint, self._outage.grace_deadline, self._timing
@@ -114,12 +114,16 @@
             retry.ratio,
             retry.constant,
             retry.window_s,
-            self.hosts.count,
-            self.hosts.usage,
+            self.membership.host_count,
+            self.membership.retry_usage,
+        )
+        self._prober = Prober(
+            self._dialect, self.directory, self.membership.local_host_count
+        )
+        pipes = DataCentreLinks(self.membership.data_centre_link_sharers)
+        chooser = Chooser(
+            self.directory, host.data_centre, pipes, self.membership.local_host_count
         )
-        self._prober = Prober(self._dialect, self.directory, self.hosts.near)
-        pipes = DataCentreLinks(self.hosts.sharers)
-        chooser = Chooser(self.directory, host.data_centre, pipes, self.hosts.near)
         self._pool = ConnectionPool()
         context = RelayContext(
             self._dialect,
@@ -132,7 +136,7 @@
             pipes,
         )
         self.frontend = Frontend(context, lambda: self.routing)
-        self.leadership = Leadership(self.lease, self.hosts)
+        self.leadership = Leadership(self.lease, self.membership)
         self._planner = Planner(
             self._dialect,
             self.directory,
@@ -160,7 +164,7 @@
             await group.start(self._listen, listen.ready, self._serve_ready)
             group.start_soon(self._routes_watch.run)
             group.start_soon(self._endpoints_watch.run)
-            group.start_soon(self.hosts.run)
+            group.start_soon(self.membership.run)
             group.start_soon(self._planner.run)
             group.start_soon(self._prober.run)
             group.start_soon(self._upkeep)
@@ -234,20 +238,20 @@
     def _watch(self, table: Table, changed: Callable[[list[Row]], None]) -> Watch:
         def taken(rows: list[Row]) -> None:
             changed(rows)
-            self.hosts.changed()
+            self.membership.push()
 
-        watch = Watch(self._store, table, taken, self.hosts, self._timing)
-        self.hosts.passes_on(watch)
+        watch = Watch(self._store, table, taken, self.membership, self._timing)
+        self.membership.share_table(watch)
         return watch
 
-    def _describe(self) -> Own:
+    def _describe(self) -> LocalState:
         now = time.monotonic()
         loads = []
         down = []
         for record in self.directory.records.values():
             if record.in_flight:
                 heard_ms = min(
-                    UNHEARD_MS, int((now - record.last_local_event_at) * 1000)
+                    MAX_EVENT_AGE_MS, int((now - record.last_local_event_at) * 1000)
                 )
                 loads.append(
                     Load(
@@ -260,16 +264,16 @@
                 )
             if record.down:
                 down.append(record.key)
-        return Own(
+        return LocalState(
             fence=self.lease.fence,
-            steady=self._outage.store_stable,
+            store_stable=self._outage.store_stable,
             leaving=self.frontend.leaving,
-            cut=self._routes_watch.store_unreachable
+            store_unreachable=self._routes_watch.store_unreachable
             or self._endpoints_watch.store_unreachable,
             loads=loads,
             down=down,
-            shut=self.directory.presumed_draining_keys(),
-            facts=self.directory.layer_updates(),
+            presumed_draining=self.directory.presumed_draining_keys(),
+            layer_updates=self.directory.layer_updates(),
             usage=self.budget.usage(),
         )
 
@@ -285,7 +289,7 @@
         while True:
             await anyio.sleep(UPKEEP_S)
             self.directory.process_deadlines()
-            self.directory.set_remote_loads(self.hosts.loads())
+            self.directory.set_remote_loads(self.membership.peer_loads())
             await self._pool.close_expired()
 
     async def _settings_watch(self) -> None:
--- a/packages/standins/src/hemlockhall_standins/router/network.py
+++ b/packages/standins/src/hemlockhall_standins/router/network.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from hemlockhall_router.membership.exchange import Exchange, Own
-from hemlockhall_router.membership.message import Contact, Copy, encode
+from hemlockhall_router.membership.exchange import Exchange, LocalState
+from hemlockhall_router.membership.message import Contact, TableVersion, encode
 from hemlockhall_router.process.setting import BoundsSection
 from hemlockhall_router.process.timing import Timing
 
@@ -56,7 +56,7 @@
             own,
             self.network.seeds,
             self.network.timing,
-            lambda: Own(loads=self.loads, cut=self.cut),
+            lambda: LocalState(loads=self.loads, store_unreachable=self.cut),
             self._copies,
             lambda address, message: self.network.post(self, address, message),
             lambda: self.network.now,
@@ -64,7 +64,7 @@
 
     def hosts(self) -> int:
         """Return how many hosts this one believes to be there."""
-        return sum(place.hosts for place in self.exchange.places())
+        return sum(place.hosts for place in self.exchange.data_centres())
 
     def take(self, version: int) -> None:
         """Take a newer version of the table."""
@@ -74,15 +74,15 @@
         self.learned.setdefault(version, self.network.now)
         self.exchange.push()
 
-    def _copies(self) -> list[Copy]:
+    def _copies(self) -> list[TableVersion]:
         age_ms = int(min(3600.0, self.network.now - self.confirmed_at) * 1000)
-        return [Copy(TABLE, self.version, self.version, age_ms)]
+        return [TableVersion(TABLE, self.version, self.version, age_ms)]
 
     def round(self) -> None:
         """Tell others what is due, again and again."""
         if not self.alive:
             return
-        self.exchange.round()
+        self.exchange.run_round()
         self.network.after(self.network.timing.gossip_interval_s, self.round)
 
     def look(self) -> None:
@@ -92,7 +92,7 @@
         stale = (
             self.network.now - self.confirmed_at > self.network.timing.max_staleness_s
         )
-        if self.exchange.follows() or stale:
+        if self.exchange.is_store_watcher() or stale:
             self.cut = self.store_cut
             if not self.cut:
                 self.confirmed_at = self.network.now
@@ -101,16 +101,16 @@
 
     def heard(self, message: Message) -> None:
         """Take a message, and rows from its sender if that has newer ones."""
-        self.exchange.heard(message)
+        self.exchange.receive(message)
         now = self.network.now
-        for copy in message.copies:
-            if copy.changed <= self.version:
+        for copy in message.table_versions:
+            if copy.last_change <= self.version:
                 at = now - copy.age_ms / 1000
                 self.confirmed_at = max(self.confirmed_at, at)
                 continue
             sender = message.sender.address
             if self.network.reachable(self.name, sender):
-                version = copy.changed
+                version = copy.last_change
                 self.network.after(2 * FAR_S, lambda v=version: self.take(v))
 
 
--- a/tests/router/membership/test_exchange.py
+++ b/tests/router/membership/test_exchange.py
@@ -155,7 +155,7 @@
         asked = []
 
         def watch(host: Host) -> None:
-            if host.exchange.follows():
+            if host.exchange.is_store_watcher():
                 asked.append(host.name)
 
         for _ in range(20):
@@ -188,4 +188,4 @@
         network.run(0.9)
         for host in network.live():
             load = host.exchange.loads().get(7)
-            assert load is None or load.heard_ms >= 600
+            assert load is None or load.event_age_ms >= 600
--- a/tests/router/test_budget.py
+++ b/tests/router/test_budget.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from hemlockhall_router.membership.message import Usage
-from hemlockhall_router.membership.tally import add_usage
+from hemlockhall_router.membership.message import RetryUsage
+from hemlockhall_router.membership.tally import sum_usage
 from hemlockhall_router.process.budget import LAG_S, SAFETY_FACTOR, RetryBudget
 
 RATIO = 0.2
@@ -23,7 +23,7 @@
 
     def __init__(self, hosts: int = HOSTS, lag_s: float = LAG_S - STEP_S) -> None:
         self.now = 0.0
-        self.told: deque[list[Usage]] = deque(maxlen=max(1, round(lag_s / STEP_S)))
+        self.told: deque[list[RetryUsage]] = deque(maxlen=max(1, round(lag_s / STEP_S)))
         self.parts: list[list[RetryBudget]] = []
         self.budgets = []
         self.spent: list[tuple[float, int]] = []
@@ -38,12 +38,12 @@
             )
             self.budgets.append(budget)
 
-    def shared(self) -> tuple[int, list[Usage]]:
+    def shared(self) -> tuple[int, list[RetryUsage]]:
         return len(self.budgets), self.told[0] if self.told else []
 
     def step(self) -> None:
         found = [item for budget in self.budgets for item in budget.usage()]
-        self.told.append(add_usage(found))
+        self.told.append(sum_usage(found))
         self.now += STEP_S
 
     def spend(self, host: int, wanted: int) -> int:
--- a/tests/router/test_directory.py
+++ b/tests/router/test_directory.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 
-from hemlockhall_router.membership.message import Fact, Load, endpoint_key
+from hemlockhall_router.membership.message import LayerUpdate, Load, endpoint_key
 from hemlockhall_router.process.directory import (
     AVOID_S,
     BUSY_S,
@@ -131,9 +131,9 @@
     ) -> None:
         """Guards against requests along layers that were given up in an outage."""
         key = endpoint_key("p1")
-        directory.apply_layer_updates([Fact(key, 1, 3, 4, 8)])
+        directory.apply_layer_updates([LayerUpdate(key, 1, 3, 4, 8)])
         assert directory.records["p1"].endpoint.layers == LayerRange(4, 8)
-        assert directory.layer_updates() == [Fact(key, 1, 3, 4, 8)]
+        assert directory.layer_updates() == [LayerUpdate(key, 1, 3, 4, 8)]
 
     @pytest.mark.parametrize("fact", [(1, 3, 0, 4), (1, 2, 0, 4), (2, 9, 0, 4)])
     def test_older_ones_and_those_of_another_run_are_not(
@@ -141,8 +141,8 @@
     ) -> None:
         """Guards against a layout that goes back to an older one."""
         key = endpoint_key("p1")
-        directory.apply_layer_updates([Fact(key, 1, 3, 4, 8)])
-        directory.apply_layer_updates([Fact(key, *fact)])
+        directory.apply_layer_updates([LayerUpdate(key, 1, 3, 4, 8)])
+        directory.apply_layer_updates([LayerUpdate(key, *fact)])
         assert directory.records["p1"].endpoint.layers == LayerRange(4, 8)
 
     def test_an_older_entry_of_the_store_reverts_nothing(
--- a/tests/router/test_planner.py
+++ b/tests/router/test_planner.py
@@ -111,7 +111,7 @@
             holder = h.routers[0]
             other = await h.add_router(grace_s=3.0)
             await h.until(lambda: other.directory.live_endpoints("pool"))
-            await h.until(holder.hosts.staying)
+            await h.until(holder.membership.has_active_peer)
             h.store.down = True
             await holder.leave()
             lost = pool.pop(1)
@@ -125,7 +125,7 @@
             holder = h.routers[0]
             await h.until(lambda: holder.lease.fence)
             other = await h.add_router()
-            await h.until(holder.hosts.staying)
+            await h.until(holder.membership.has_active_peer)
             h.group.start_soon(holder.leave)
             await h.until(lambda: other.lease.fence)
             assert not holder.lease.fence
--- a/tests/router/test_store.py
+++ b/tests/router/test_store.py
@@ -117,7 +117,7 @@
             cut.version = h.store.version
             second = await h.add_router(address=address)
             await h.until(lambda: "d1" in second.directory.records)
-            await h.until(lambda: second.hosts.another_steady())
+            await h.until(lambda: second.membership.peer_store_stable())
             cut.down = True
             await h.until(lambda: not second._endpoints_watch.connected)
             record = second.directory.records["d1"]
