--- a/packages/standins/src/hemlockhall_standins/router/endpoint.py
+++ b/packages/standins/src/hemlockhall_standins/router/endpoint.py
@@ -25,7 +25,7 @@
 
 
 @dataclass
-class Arrival:
+class ReceivedRequest:
     """A request as it reached the endpoint, and the ways to answer it."""
 
     head: RequestHead
@@ -91,7 +91,7 @@
     return b"id: %d\ndata: word%d\n\n" % (number, number)
 
 
-Script = Callable[[Arrival], Awaitable[None]]
+RequestHandler = Callable[[ReceivedRequest], Awaitable[None]]
 
 
 @dataclass
@@ -103,12 +103,12 @@
     """
 
     name: str
-    script: Script
+    script: RequestHandler
     port: int = 0
-    arrivals: list[Arrival] = field(default_factory=list)
+    received: list[ReceivedRequest] = field(default_factory=list)
     orders: list[OrderRow] = field(default_factory=list)
     state: ReportRow = field(default_factory=ReportRow)
-    left: int = 0
+    disconnects: int = 0
     late_orders: int = 0
     waiting: list[OrderRow] = field(default_factory=list)
     _scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)
@@ -141,7 +141,7 @@
                 while await self._request(stream, reader):
                     continue
         except (CallerDisconnectedError, anyio.BrokenResourceError):
-            self.left += 1
+            self.disconnects += 1
         except anyio.ClosedResourceError:
             return
 
@@ -150,20 +150,20 @@
         if head is None:
             return False
         body = await reader.read_body(float("inf"))
-        arrival = Arrival(head, body, stream, reader, self)
+        arrival = ReceivedRequest(head, body, stream, reader, self)
         if head.target == b"/state":
             await arrival.answer(body=msgspec.json.encode(self.state))
         elif head.target == b"/hold":
             await self._hold(arrival)
         else:
-            self.arrivals.append(arrival)
+            self.received.append(arrival)
             await self.script(arrival)
         if arrival.ended:
             return False
         reader.finish_request()
         return True
 
-    async def _hold(self, arrival: Arrival) -> None:
+    async def _hold(self, arrival: ReceivedRequest) -> None:
         order = msgspec.json.decode(arrival.body, type=OrderRow)
         if self.late_orders:
             self.late_orders -= 1
@@ -188,8 +188,8 @@
 
 
 __all__ = [
-    "Arrival",
-    "Script",
+    "ReceivedRequest",
+    "RequestHandler",
     "ScriptedEndpoint",
     "event_text",
 ]
--- a/packages/standins/src/hemlockhall_standins/router/hall.py
+++ b/packages/standins/src/hemlockhall_standins/router/harness.py
@@ -32,7 +32,7 @@
     RoutingRow,
     new_store,
 )
-from hemlockhall_standins.router.endpoint import Script, ScriptedEndpoint
+from hemlockhall_standins.router.endpoint import RequestHandler, ScriptedEndpoint
 from hemlockhall_standins.router.store import MemoryStore
 
 # Seconds a test waits for what must happen; generous, so that a busy machine
@@ -60,7 +60,7 @@
 
 
 @dataclass
-class Hall:
+class RouterHarness:
     """A running router and what it meets."""
 
     group: anyio.abc.TaskGroup
@@ -101,7 +101,7 @@
         self.routers.append(router)
         self.ports.append(port)
         self.listens.append(settings.listen.hosts)
-        await self.until(lambda: router.ready)
+        await self.wait_until(lambda: router.ready)
         return router
 
     def configure(self, **limits: float) -> None:
@@ -110,25 +110,27 @@
         row = RoutingRow(self.version, self.routes, self.keys, **limits)  # type: ignore[arg-type]
         self.store.put(Table.ROUTING, "configuration", msgspec.json.encode(row))
 
-    async def endpoint(
-        self, name: str, script: Script, service: str = "desk", **row: object
+    async def start_endpoint(
+        self, name: str, script: RequestHandler, service: str = "desk", **row: object
     ) -> ScriptedEndpoint:
         """Start an endpoint and enter it in the store."""
         endpoint = ScriptedEndpoint(name, script)
         await endpoint.start(self.group)
-        self.enter(endpoint, service, **row)
+        self.register(endpoint, service, **row)
         for router in self.routers:
-            await self.until(lambda router=router: name in router.directory.records)
+            await self.wait_until(
+                lambda router=router: name in router.directory.records
+            )
         return endpoint
 
-    def enter(self, endpoint: ScriptedEndpoint, service: str, **row: object) -> None:
+    def register(self, endpoint: ScriptedEndpoint, service: str, **row: object) -> None:
         """Write an endpoint's row."""
         entry = EndpointRow(service, endpoint.port, **row)  # type: ignore[arg-type]
         endpoint.state.layers = entry.layers
         value = msgspec.json.encode(entry)
         self.store.put(Table.ENDPOINTS, endpoint.name, value)
 
-    async def until(self, done) -> None:  # noqa: ANN001
+    async def wait_until(self, done) -> None:  # noqa: ANN001
         """Wait until something holds, or fail."""
         with anyio.fail_after(WAIT_S):
             while not done():
@@ -139,7 +141,7 @@
         deadline = time.monotonic() + WAIT_S
         return await ClientConnection.open("127.0.0.1", self.ports[router], deadline)
 
-    async def ask(
+    async def request(
         self,
         target: str,
         *,
@@ -175,13 +177,13 @@
 
 
 @asynccontextmanager
-async def hall(
+async def router_harness(
     routes: list[RouteRow], *, keys: dict[str, str] | None = None, **limits: float
-) -> AsyncIterator[Hall]:
+) -> AsyncIterator[RouterHarness]:
     """Run a router until the block ends."""
     address, store = new_store()
     async with anyio.create_task_group() as group:
-        made = Hall(group, store, address, routes, keys)
+        made = RouterHarness(group, store, address, routes, keys)
         made.configure(**limits)
         await made.add_router()
         try:
@@ -191,7 +193,7 @@
 
 
 __all__ = [
-    "Hall",
+    "RouterHarness",
     "caller_text",
-    "hall",
+    "router_harness",
 ]
--- a/packages/standins/src/hemlockhall_standins/router/network.py
+++ b/packages/standins/src/hemlockhall_standins/router/network.py
@@ -21,7 +21,7 @@
 
 TABLE = "routing"
 # Seconds between two looks of a host at the store.
-LOOK_S = 0.05
+STORE_POLL_INTERVAL_S = 0.05
 # Seconds a datagram takes inside a data centre and between two.
 NEAR_S = 0.0002
 FAR_S = 0.0006
@@ -36,7 +36,7 @@
 
     name: str
     network: Network
-    place: str
+    data_centre: str
     boot: str
     power: int
     version: int = 0
@@ -45,18 +45,20 @@
     slow_s: float = 0.0
     store_cut: bool = False
     loads: list[Load] = field(default_factory=list)
-    cut: bool = False
+    store_unreachable: bool = False
     sent: int = 0
     sent_bytes: int = 0
     learned: dict[int, float] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        own = Contact(self.name, self.name, self.place, self.power, self.boot)
+        own = Contact(self.name, self.name, self.data_centre, self.power, self.boot)
         self.exchange = Exchange(
             own,
             self.network.seeds,
             self.network.timing,
-            lambda: LocalState(loads=self.loads, store_unreachable=self.cut),
+            lambda: LocalState(
+                loads=self.loads, store_unreachable=self.store_unreachable
+            ),
             self._copies,
             lambda address, message: self.network.post(self, address, message),
             lambda: self.network.now,
@@ -66,7 +68,7 @@
         """Return how many hosts this one believes to be there."""
         return sum(place.hosts for place in self.exchange.data_centres())
 
-    def take(self, version: int) -> None:
+    def apply(self, version: int) -> None:
         """Take a newer version of the table."""
         if version <= self.version:
             return
@@ -85,7 +87,7 @@
         self.exchange.run_round()
         self.network.after(self.network.timing.gossip_interval_s, self.round)
 
-    def look(self) -> None:
+    def poll_store(self) -> None:
         """Ask the store if this host should, again and again."""
         if not self.alive:
             return
@@ -93,13 +95,13 @@
             self.network.now - self.confirmed_at > self.network.timing.max_staleness_s
         )
         if self.exchange.is_store_watcher() or stale:
-            self.cut = self.store_cut
-            if not self.cut:
+            self.store_unreachable = self.store_cut
+            if not self.store_unreachable:
                 self.confirmed_at = self.network.now
-                self.take(self.network.store_version)
-        self.network.after(LOOK_S, self.look)
+                self.apply(self.network.store_version)
+        self.network.after(STORE_POLL_INTERVAL_S, self.poll_store)
 
-    def heard(self, message: Message) -> None:
+    def receive(self, message: Message) -> None:
         """Take a message, and rows from its sender if that has newer ones."""
         self.exchange.receive(message)
         now = self.network.now
@@ -111,14 +113,14 @@
             sender = message.sender.address
             if self.network.reachable(self.name, sender):
                 version = copy.last_change
-                self.network.after(2 * FAR_S, lambda v=version: self.take(v))
+                self.network.after(2 * FAR_S, lambda v=version: self.apply(v))
 
 
 class Network:
     """Hosts in data centres; ``lost`` is the part of datagrams that get lost."""
 
     def __init__(
-        self, hosts: int, places: int, seed: int = 0, *, config_ms: float = 2000.0
+        self, hosts: int, data_centres: int, seed: int = 0, *, config_ms: float = 2000.0
     ) -> None:
         self.random = random.Random(seed)  # noqa: S311
         random.seed(seed)
@@ -133,14 +135,14 @@
         self.seeds = self.random.sample(names, min(3, hosts))
         self.hosts: dict[str, Host] = {}
         for number, name in enumerate(names):
-            self.start(name, f"place-{number % places}", power=number % 5)
+            self.start(name, f"place-{number % data_centres}", power=number % 5)
 
     def start(self, name: str, place: str, boot: str = "1", power: int = 1) -> Host:
         """Start a host, or a new run of one."""
         host = Host(name, self, place, boot, power)
         self.hosts[name] = host
         self.after(self.random.uniform(0.0, 0.3), host.round)
-        self.after(self.random.uniform(0.0, 0.3), host.look)
+        self.after(self.random.uniform(0.0, 0.3), host.poll_store)
         return host
 
     def live(self) -> list[Host]:
@@ -177,9 +179,9 @@
         if self.random.random() < self.lost:
             return
         target = self.hosts[address]
-        near = target.place == sender.place
+        near = target.data_centre == sender.data_centre
         delay_s = (NEAR_S if near else FAR_S) + sender.slow_s
-        self.after(delay_s, lambda: target.heard(message) if target.alive else None)
+        self.after(delay_s, lambda: target.receive(message) if target.alive else None)
 
     def sent_each(self) -> float:
         """Return the median number of datagrams that a host sent."""
--- a/packages/standins/src/hemlockhall_standins/router/pool.py
+++ b/packages/standins/src/hemlockhall_standins/router/pool.py
@@ -41,12 +41,12 @@
     return Service(SERVICE, "/", 100, slots=500, model=model)
 
 
-def directory() -> Directory:
+def make_directory() -> Directory:
     """Return a directory that no store changes."""
     return Directory(lambda key, value: None, lambda: 0.0, Timing(BoundsSection()))
 
 
-def enter(
+def add_endpoint(
     known: Directory, name: str, place: str, accelerator: str, layers: LayerRange
 ) -> EndpointRecord:
     """Enter an endpoint that holds layers, and return its entry."""
@@ -57,8 +57,8 @@
 
 
 __all__ = [
-    "directory",
-    "enter",
+    "make_directory",
+    "add_endpoint",
     "large_model",
     "service",
 ]
--- a/tests/core/connection/test_link.py
+++ b/tests/core/connection/test_link.py
@@ -11,7 +11,7 @@
 from hemlockhall_core.connection.link import Handler, Link
 from hemlockhall_core.connection.peer import Peer, Timing
 from hemlockhall_core.process.metric import Metrics
-from hemlockhall_standins.router.hall import free_port
+from hemlockhall_standins.router.harness import free_port
 
 pytestmark = pytest.mark.anyio
 
--- a/tests/router/membership/test_exchange.py
+++ b/tests/router/membership/test_exchange.py
@@ -42,7 +42,7 @@
         old = network.hubs()[0]
         old.alive = False
         network.run(CRASH_S)
-        new = network.start(old.name, old.place, boot="2", power=old.power)
+        new = network.start(old.name, old.data_centre, boot="2", power=old.power)
         network.run(RESTART_S)
         assert new.hosts() == hosts
         assert {host.hosts() for host in network.live()} == {hosts}
@@ -67,7 +67,7 @@
         old.alive = False
         network.run(CRASH_S)
         assert {host.hosts() for host in network.live()} == {399}
-        network.start(old.name, old.place, boot="2", power=old.power)
+        network.start(old.name, old.data_centre, boot="2", power=old.power)
         network.run(RESTART_S)
         assert {host.hosts() for host in network.live()} == {400}
 
@@ -100,10 +100,10 @@
     def test_parted_data_centres_find_each_other_again(self) -> None:
         """Guards against a partition that outlives its cause."""
         network = started(25, 3)
-        places = {name: host.place for name, host in network.hosts.items()}
+        places = {name: host.data_centre for name, host in network.hosts.items()}
         network.cut = lambda sender, receiver: places[sender] != places[receiver]
         network.run(10.0)
-        own = [h for h in network.hosts.values() if h.place == "place-0"]
+        own = [h for h in network.hosts.values() if h.data_centre == "place-0"]
         assert {host.hosts() for host in own} == {len(own)}
         network.cut = lambda sender, receiver: False
         network.run(6.0)
@@ -113,7 +113,7 @@
         network = started(25, 3)
         for host in list(network.hosts.values()):
             host.alive = False
-            network.start(host.name, host.place, boot="2", power=host.power)
+            network.start(host.name, host.data_centre, boot="2", power=host.power)
         network.run(START_S)
         assert {host.hosts() for host in network.live()} == {25}
 
--- a/tests/router/test_caller.py
+++ b/tests/router/test_caller.py
@@ -8,8 +8,8 @@
 import pytest
 
 from hemlockhall_standins.router.dialect import RouteRow
-from hemlockhall_standins.router.endpoint import Arrival
-from hemlockhall_standins.router.hall import caller_text, hall
+from hemlockhall_standins.router.endpoint import ReceivedRequest
+from hemlockhall_standins.router.harness import caller_text, router_harness
 
 pytestmark = pytest.mark.anyio
 
@@ -17,12 +17,12 @@
 READ = b"GET /read/x HTTP/1.1\r\nHost: hall.example\r\n"
 
 
-async def answer(arrival: Arrival) -> None:
+async def answer(arrival: ReceivedRequest) -> None:
     await arrival.answer(200, arrival.body)
 
 
-async def status_of(h, data: bytes) -> int:  # noqa: ANN001
-    conn = await h.connect()
+async def status_of(harness, data: bytes) -> int:  # noqa: ANN001
+    conn = await harness.connect()
     try:
         deadline = time.monotonic() + 20
         await conn.send(data, deadline)
@@ -47,15 +47,15 @@
     async def test_two_readings_mean_400(self, lines: bytes) -> None:
         """Two readers that disagree where a request ends would let a caller
         hide a second request in the body of the first."""
-        async with hall(ROUTES) as h:
-            desk = await h.endpoint("d1", answer)
-            assert await status_of(h, READ + lines) == 400
-            assert not desk.arrivals
+        async with router_harness(ROUTES) as harness:
+            desk = await harness.start_endpoint("d1", answer)
+            assert await status_of(harness, READ + lines) == 400
+            assert not desk.received
 
     async def test_pipelined_requests_are_answered_in_order(self) -> None:
-        async with hall(ROUTES) as h:
-            await h.endpoint("d1", answer)
-            conn = await h.connect()
+        async with router_harness(ROUTES) as harness:
+            await harness.start_endpoint("d1", answer)
+            conn = await harness.connect()
             deadline = time.monotonic() + 20
             text = caller_text("/read/x", "POST", b"one", request_id="1")
             text += caller_text("/read/x", "POST", b"two", request_id="2")
@@ -67,30 +67,30 @@
 
 class TestLimits:
     async def test_a_large_head_gets_431(self) -> None:
-        async with hall(ROUTES) as h:
+        async with router_harness(ROUTES) as harness:
             lines = b"X-Long: " + b"a" * 5000 + b"\r\n\r\n"
-            assert await status_of(h, READ + lines) == 431
+            assert await status_of(harness, READ + lines) == 431
 
     async def test_a_large_body_gets_413(self) -> None:
-        async with hall(ROUTES, body_bytes=10) as h:
-            desk = await h.endpoint("d1", answer)
+        async with router_harness(ROUTES, body_bytes=10) as harness:
+            desk = await harness.start_endpoint("d1", answer)
             text = caller_text("/read/x", "POST", b"0123456789a")
-            assert await status_of(h, text) == 413
-            assert not desk.arrivals
+            assert await status_of(harness, text) == 413
+            assert not desk.received
 
     async def test_a_slow_head_gets_408(self) -> None:
-        async with hall(ROUTES) as h:
-            assert await status_of(h, READ) == 408
+        async with router_harness(ROUTES) as harness:
+            assert await status_of(harness, READ) == 408
 
     async def test_callers_that_send_a_body_byte_by_byte_are_ended(self) -> None:
         """Fifty callers send a byte now and then; without a bound on the whole
         body they would hold their connections for ever."""
-        async with hall(ROUTES) as h:
-            await h.endpoint("d1", answer)
+        async with router_harness(ROUTES) as harness:
+            await harness.start_endpoint("d1", answer)
             statuses: list[int] = []
 
             async def drip() -> None:
-                conn = await h.connect()
+                conn = await harness.connect()
                 deadline = time.monotonic() + 20
                 lines = b"Deadline-Ms: 300\r\nContent-Length: 1000\r\n\r\n"
                 await conn.send(READ + lines, deadline)
--- a/tests/router/test_explain.py
+++ b/tests/router/test_explain.py
@@ -9,8 +9,8 @@
 from loguru import logger
 
 from hemlockhall_standins.router.dialect import RouteRow
-from hemlockhall_standins.router.endpoint import Arrival
-from hemlockhall_standins.router.hall import hall
+from hemlockhall_standins.router.endpoint import ReceivedRequest
+from hemlockhall_standins.router.harness import router_harness
 
 pytestmark = pytest.mark.anyio
 
@@ -50,13 +50,13 @@
         looks for the id finds the refusals, the path of each and the endpoint
         at fault with its load."""
 
-        async def refuse(arrival: Arrival) -> None:
+        async def refuse(arrival: ReceivedRequest) -> None:
             await arrival.refuse(503, f"at-fault: 127.0.0.1:{second.port}\r\n")
 
-        async with hall(ROUTES) as h:
-            second = await h.endpoint("p2", refuse, layers=(4, 8), **HOLDER)
-            await h.endpoint("p1", refuse, layers=(0, 4), **HOLDER)
-            answer = await h.ask("/draft/x", method="POST", request_id="q7")
+        async with router_harness(ROUTES) as harness:
+            second = await harness.start_endpoint("p2", refuse, layers=(4, 8), **HOLDER)
+            await harness.start_endpoint("p1", refuse, layers=(0, 4), **HOLDER)
+            answer = await harness.request("/draft/x", method="POST", request_id="q7")
         assert answer.head.status == 503
         given_up = of(lines, event="stream given up", request="q7")
         assert [line["reason"] for line in given_up] == ["endpoints_full"]
@@ -74,8 +74,8 @@
     async def test_the_line_names_the_version_in_force(
         self, lines: list[dict[str, Any]]
     ) -> None:
-        async with hall(ROUTES, keys={"k1": "choir"}) as h:
-            answer = await h.ask(
+        async with router_harness(ROUTES, keys={"k1": "choir"}) as harness:
+            answer = await harness.request(
                 "/draft/x", method="POST", headers={"Api-Key": "k2"}, request_id="q8"
             )
         assert answer.head.status == 401
--- a/tests/router/test_load_fleet.py
+++ b/tests/router/test_load_fleet.py
@@ -25,7 +25,7 @@
 )
 from hemlockhall_router.version.routing import Accelerator
 from hemlockhall_standins.router.pool import SERVICE as POOL
-from hemlockhall_standins.router.pool import directory, large_model, service
+from hemlockhall_standins.router.pool import large_model, make_directory, service
 
 KINDS = {
     "a": Accelerator(36_000.0, 3.1, 3.2),
@@ -208,7 +208,7 @@
     @pytest.mark.parametrize("count", [59, 1000])
     def test_a_path_is_found_among_a_bounded_sample(self, count: int) -> None:
         """Guards against choices whose time grows with the fleet."""
-        known = directory()
+        known = make_directory()
         found = fleet(count, 3)
         held = settled(found, ReplicaDivision())
         for endpoint in found:
@@ -221,7 +221,7 @@
 
     def test_a_path_is_found_though_the_sampled_replicas_are_broken(self) -> None:
         """Guards against refusals while another replica is whole."""
-        known = directory()
+        known = make_directory()
         found = fleet(1000, 3)
         division = ReplicaDivision()
         held = settled(found, division)
--- a/tests/router/test_load_loss.py
+++ b/tests/router/test_load_loss.py
@@ -12,7 +12,12 @@
 from hemlockhall_router.process.chooser import Chooser
 from hemlockhall_router.version.endpoint import LayerRange
 from hemlockhall_router.version.routing import Accelerator
-from hemlockhall_standins.router.pool import directory, enter, large_model, service
+from hemlockhall_standins.router.pool import (
+    add_endpoint,
+    large_model,
+    make_directory,
+    service,
+)
 
 if TYPE_CHECKING:
     from hemlockhall_router.process.directory import Directory
@@ -29,9 +34,9 @@
 
 def three_endpoints() -> Directory:
     """Return three endpoints with all layers, one of them faster."""
-    known = directory()
+    known = make_directory()
     for name, kind in (("p1", "fast"), ("p2", "slow"), ("p3", "slow")):
-        enter(known, name, "x", kind, LayerRange(0, 80))
+        add_endpoint(known, name, "x", kind, LayerRange(0, 80))
     return known
 
 
--- a/tests/router/test_load_pipe.py
+++ b/tests/router/test_load_pipe.py
@@ -12,7 +12,12 @@
 from hemlockhall_router.process.chooser import Chooser
 from hemlockhall_router.version.endpoint import LayerRange
 from hemlockhall_router.version.routing import Accelerator
-from hemlockhall_standins.router.pool import directory, enter, large_model, service
+from hemlockhall_standins.router.pool import (
+    add_endpoint,
+    large_model,
+    make_directory,
+    service,
+)
 
 if TYPE_CHECKING:
     from hemlockhall_router.process.directory import Directory
@@ -44,9 +49,9 @@
 
 def broken_copies(tokens: int = CROWDED) -> Directory:
     """Return the endpoints of ``LAYOUT``, with tokens of other requests at z."""
-    known = directory()
+    known = make_directory()
     for place, layers in LAYOUT.items():
-        enter(known, place, place, "fast", layers)
+        add_endpoint(known, place, place, "fast", layers)
     known.records["z"].remote_tokens = tokens
     return known
 
@@ -130,10 +135,10 @@
     clock = Clock()
     taken_s = 0.0
     for _ in range(MANY_HOSTS):
-        known = directory()
+        known = make_directory()
         for place, layers in (("x", LAYOUT["x"]), ("x2", LAYOUT["y"])):
-            enter(known, place, "x", "fast", layers)
-        enter(known, "y", "y", "fast", LAYOUT["y"])
+            add_endpoint(known, place, "x", "fast", layers)
+        add_endpoint(known, "y", "y", "fast", LAYOUT["y"])
         # Others' prompts wait at home, as far as this host has heard.
         known.records["x2"].remote_prefill_tokens = 30_000
         pipes = DataCentreLinks(lambda: MANY_HOSTS, clock)
@@ -159,9 +164,9 @@
 
     def test_a_pipe_is_used_where_home_has_no_path(self) -> None:
         """Guards against refusals while the layers are held elsewhere."""
-        known = directory()
-        enter(known, "x", "x", "fast", LAYOUT["x"])
-        enter(known, "y", "y", "fast", LAYOUT["y"])
+        known = make_directory()
+        add_endpoint(known, "x", "x", "fast", LAYOUT["x"])
+        add_endpoint(known, "y", "y", "fast", LAYOUT["y"])
         pipes = DataCentreLinks(lambda: MANY_HOSTS, Clock())
         chooser = Chooser(known, "x", pipes, lambda: MANY_HOSTS // 2)
         path = chooser.choose_path(SERVICE, set(), tokens=TOKENS)
--- a/tests/router/test_planner.py
+++ b/tests/router/test_planner.py
@@ -10,8 +10,8 @@
 from hemlockhall_router.version.endpoint import Endpoint, LayerRange
 from hemlockhall_router.version.member import Member
 from hemlockhall_standins.router.dialect import RouteRow, model
-from hemlockhall_standins.router.endpoint import Arrival, ScriptedEndpoint
-from hemlockhall_standins.router.hall import Hall, hall
+from hemlockhall_standins.router.endpoint import ReceivedRequest, ScriptedEndpoint
+from hemlockhall_standins.router.harness import RouterHarness, router_harness
 
 pytestmark = pytest.mark.anyio
 
@@ -19,7 +19,7 @@
 EMPTY = {"service": "pool", "accelerator": "small"}
 
 
-async def unused(arrival: Arrival) -> None:
+async def unused(arrival: ReceivedRequest) -> None:
     await arrival.refuse()
 
 
@@ -33,67 +33,71 @@
     return Coverage(model(), members).holes()
 
 
-async def laid_out(h: Hall, count: int) -> list[ScriptedEndpoint]:
-    pool = [await h.endpoint(f"p{n}", unused, **EMPTY) for n in range(count)]
-    await h.until(lambda: all(e.state.layers is not None for e in pool))
-    await h.until(lambda: not missing(pool))
+async def laid_out(harness: RouterHarness, count: int) -> list[ScriptedEndpoint]:
+    pool = [
+        await harness.start_endpoint(f"p{n}", unused, **EMPTY) for n in range(count)
+    ]
+    await harness.wait_until(lambda: all(e.state.layers is not None for e in pool))
+    await harness.wait_until(lambda: not missing(pool))
     return pool
 
 
 class TestOrders:
     async def test_empty_endpoints_get_a_whole_copy(self) -> None:
-        async with hall(ROUTES) as h:
-            pool = await laid_out(h, 4)
+        async with router_harness(ROUTES) as harness:
+            pool = await laid_out(harness, 4)
             assert [len(endpoint.orders) for endpoint in pool] == [1, 1, 1, 1]
 
     async def test_a_lost_endpoint_is_replaced(self) -> None:
-        async with hall(ROUTES) as h:
-            pool = await laid_out(h, 4)
+        async with router_harness(ROUTES) as harness:
+            pool = await laid_out(harness, 4)
             lost = pool.pop(1)
             lost.stop()
-            h.enter(lost, "pool", draining=True, accelerator="small")
-            await h.until(lambda: not missing(pool))
+            harness.register(lost, "pool", draining=True, accelerator="small")
+            await harness.wait_until(lambda: not missing(pool))
 
     async def test_layers_are_given_up_at_once_only_for_a_broken_copy(self) -> None:
         """An endpoint that holds layers twice takes over those of a lost one.
         It waited until the streams on it had ended, which under load took many
         seconds, and all that time the copy served nobody."""
-        async with hall(ROUTES) as h:
-            pool = await laid_out(h, 4)
+        async with router_harness(ROUTES) as harness:
+            pool = await laid_out(harness, 4)
             assert all(endpoint.orders[-1].at_once for endpoint in pool)
-            held = h.routers[0].directory.records
-            await h.until(lambda: all(held[e.name].endpoint.layers for e in pool))
-            spare = await h.endpoint("p9", unused, **EMPTY)
-            await h.until(lambda: spare.orders)
+            held = harness.routers[0].directory.records
+            await harness.wait_until(
+                lambda: all(held[e.name].endpoint.layers for e in pool)
+            )
+            spare = await harness.start_endpoint("p9", unused, **EMPTY)
+            await harness.wait_until(lambda: spare.orders)
             assert not spare.orders[0].at_once
             lost = pool.pop(1)
             rest = [*pool, spare]
             before = {e.name: len(e.orders) for e in rest}
             lost.stop()
-            h.enter(lost, "pool", draining=True, accelerator="small")
-            await h.until(lambda: not missing(rest))
+            harness.register(lost, "pool", draining=True, accelerator="small")
+            await harness.wait_until(lambda: not missing(rest))
             repairs = [o for e in rest for o in e.orders[before[e.name] :]]
             assert any(order.at_once for order in repairs)
 
     async def test_orders_name_the_count_of_orders_before(self) -> None:
         """An order that an endpoint carries out late, after a newer one, names
         a count that has passed, so the endpoint refuses it."""
-        async with hall(ROUTES) as h:
-            pool = await laid_out(h, 4)
+        async with router_harness(ROUTES) as harness:
+            pool = await laid_out(harness, 4)
             for endpoint in pool:
                 assert endpoint.orders[0].orders == 0
-                assert endpoint.orders[0].fence == h.routers[0].lease.fence
+                assert endpoint.orders[0].fence == harness.routers[0].lease.fence
 
     async def test_an_order_without_an_answer_is_given_again_at_once(self) -> None:
         """Endpoints leave their first order unanswered and carry it out after
         they began a second one. Waiting for the first, the planner left the
         layers unserved; carried out late, it must not undo the second."""
-        async with hall(ROUTES) as h:
+        async with router_harness(ROUTES) as harness:
             pool = []
             for number in range(4):
-                pool.append(await h.endpoint(f"p{number}", unused, **EMPTY))
+                pool.append(await harness.start_endpoint(f"p{number}", unused, **EMPTY))
                 pool[-1].late_orders = 1
-            await h.until(lambda: not missing(pool))
+            await harness.wait_until(lambda: not missing(pool))
             for endpoint in pool:
                 assert len(endpoint.waiting) == 1
                 endpoint.catch_up()
@@ -106,42 +110,42 @@
         """The store is away, and the host that holds the lease is told to end.
         Nobody can acquire the lease. Then an endpoint dies: its layers stayed
         unserved until the store was back, and callers were refused."""
-        async with hall(ROUTES) as h:
-            pool = await laid_out(h, 4)
-            holder = h.routers[0]
-            other = await h.add_router(grace_s=3.0)
-            await h.until(lambda: other.directory.live_endpoints("pool"))
-            await h.until(holder.membership.has_active_peer)
-            h.store.down = True
+        async with router_harness(ROUTES) as harness:
+            pool = await laid_out(harness, 4)
+            holder = harness.routers[0]
+            other = await harness.add_router(grace_s=3.0)
+            await harness.wait_until(lambda: other.directory.live_endpoints("pool"))
+            await harness.wait_until(holder.membership.has_active_peer)
+            harness.store.down = True
             await holder.leave()
             lost = pool.pop(1)
             lost.stop()
             other.directory.set_down(lost.name, down=True)
-            await h.until(lambda: not missing(pool))
+            await harness.wait_until(lambda: not missing(pool))
             assert not other.lease.fence
 
     async def test_the_holder_leaves_orders_to_a_host_that_stays(self) -> None:
-        async with hall(ROUTES) as h:
-            holder = h.routers[0]
-            await h.until(lambda: holder.lease.fence)
-            other = await h.add_router()
-            await h.until(holder.membership.has_active_peer)
-            h.group.start_soon(holder.leave)
-            await h.until(lambda: other.lease.fence)
+        async with router_harness(ROUTES) as harness:
+            holder = harness.routers[0]
+            await harness.wait_until(lambda: holder.lease.fence)
+            other = await harness.add_router()
+            await harness.wait_until(holder.membership.has_active_peer)
+            harness.group.start_soon(holder.leave)
+            await harness.wait_until(lambda: other.lease.fence)
             assert not holder.lease.fence
 
     async def test_the_last_host_gives_orders_until_it_ends(self) -> None:
         """All hosts are told to end, one after the other. A leaving host gave
         no orders, so what died then was replaced only after the restart."""
-        async with hall(ROUTES) as h:
-            pool = await laid_out(h, 4)
-            holder = h.routers[0]
-            h.group.start_soon(holder.leave)
-            await h.until(lambda: holder.frontend.leaving)
+        async with router_harness(ROUTES) as harness:
+            pool = await laid_out(harness, 4)
+            holder = harness.routers[0]
+            harness.group.start_soon(holder.leave)
+            await harness.wait_until(lambda: holder.frontend.leaving)
             lost = pool.pop(1)
             lost.stop()
-            h.enter(lost, "pool", draining=True, accelerator="small")
-            await h.until(lambda: not missing(pool))
+            harness.register(lost, "pool", draining=True, accelerator="small")
+            await harness.wait_until(lambda: not missing(pool))
 
 
 class TestManyEndpoints:
@@ -151,9 +155,11 @@
         """Guards against a planner that calls all endpoints of a fleet at once."""
         monkeypatch.setattr(planner, "ORDERS_MAX", 2)
         most = 0
-        async with hall(ROUTES) as h:
-            pool = [await h.endpoint(f"p{n}", unused, **EMPTY) for n in range(6)]
-            turns = h.routers[0]._planner._turns
+        async with router_harness(ROUTES) as harness:
+            pool = [
+                await harness.start_endpoint(f"p{n}", unused, **EMPTY) for n in range(6)
+            ]
+            turns = harness.routers[0]._planner._turns
             while any(endpoint.state.layers is None for endpoint in pool):
                 await anyio.sleep(0.01)
                 most = max(most, int(turns.borrowed_tokens))
@@ -164,6 +170,6 @@
     ) -> None:
         """Guards against copies that are planned anew while half of them is ordered."""
         monkeypatch.setattr(planner, "ORDERS_MAX", 1)
-        async with hall(ROUTES) as h:
-            pool = await laid_out(h, 8)
+        async with router_harness(ROUTES) as harness:
+            pool = await laid_out(harness, 8)
             assert [len(endpoint.orders) for endpoint in pool] == [1] * 8
--- a/tests/router/test_process.py
+++ b/tests/router/test_process.py
@@ -13,7 +13,7 @@
 import httpx
 import pytest
 
-from hemlockhall_standins.router.hall import free_port
+from hemlockhall_standins.router.harness import free_port
 
 SETTINGS = """
 [host]
