--- a/packages/cli/src/hemlockhall_cli/main.py
+++ b/packages/cli/src/hemlockhall_cli/main.py
@@ -28,14 +28,14 @@
     from hemlockhall_core.version.repository import Accepted, Revision
 
 T = TypeVar("T")
-BASE_LINE = "# hemlockhall version {}"
-BASE_PATTERN = re.compile(r"^# hemlockhall version (\d+)$", re.MULTILINE)
-WATCH_INTERVAL = 0.5
-TELL_TIMEOUT = 2.0
-
-TABLE = click.option("--table", envvar="HEMLOCKHALL_TABLE", required=True)
-OBJECTS = click.option("--objects", envvar="HEMLOCKHALL_OBJECTS", required=True)
-ENTRIES = click.option(
+BASE_VERSION_LINE = "# hemlockhall version {}"
+BASE_VERSION_PATTERN = re.compile(r"^# hemlockhall version (\d+)$", re.MULTILINE)
+WATCH_INTERVAL_S = 0.5
+NOTIFY_TIMEOUT_S = 2.0
+
+TABLE_OPTION = click.option("--table", envvar="HEMLOCKHALL_TABLE", required=True)
+OBJECTS_OPTION = click.option("--objects", envvar="HEMLOCKHALL_OBJECTS", required=True)
+ENTRIES_OPTION = click.option(
     "--entry",
     "entries",
     envvar="HEMLOCKHALL_ENTRIES",
@@ -43,7 +43,7 @@
     required=True,
     help="Administrative URL of an entry host; give each.",
 )
-FILE = click.argument("path", type=click.Path(exists=True, path_type=Path))
+FILE_ARGUMENT = click.argument("path", type=click.Path(exists=True, path_type=Path))
 
 
 @click.group()
@@ -52,7 +52,7 @@
 
 
 @main.command()
-@FILE
+@FILE_ARGUMENT
 def check(path: Path) -> None:
     """Check a document without submitting it."""
     try:
@@ -65,9 +65,9 @@
 
 
 @main.command()
-@FILE
-@TABLE
-@OBJECTS
+@FILE_ARGUMENT
+@TABLE_OPTION
+@OBJECTS_OPTION
 @click.option("--base", type=int, help="Version that the text was edited from.")
 @click.option("--who", default=getpass.getuser, help="Who submits.")
 @click.option("--revision", default="", help="Your own version control's revision.")
@@ -90,41 +90,41 @@
     """Make the document in PATH the accepted one."""
     text = path.read_text()
     if base is None:
-        base = _base(text)
+        base = _base_version(text)
 
     async def run(repository: Repository) -> Accepted:
         return await repository.submit(text, base, who, revision)
 
     accepted = _with_repository(table, objects, run)
-    _tell(entries, accepted, split(text))
+    _notify_entry_hosts(entries, accepted, split(text))
     names = ", ".join(accepted.changed) or "nothing"
     click.echo(f"version {accepted.version} accepted; changed: {names}")
 
 
 @main.command()
-@TABLE
-@OBJECTS
+@TABLE_OPTION
+@OBJECTS_OPTION
 @click.option("--version", type=int, help="A version of the history.")
 def show(table: str, objects: str, version: int | None) -> None:
     """Print the accepted document, to edit and submit."""
 
     async def run(repository: Repository) -> str:
-        return await _text(repository, version)
+        return await _document_text(repository, version)
 
     click.echo(_with_repository(table, objects, run), nl=False)
 
 
 @main.command()
-@FILE
-@TABLE
-@OBJECTS
+@FILE_ARGUMENT
+@TABLE_OPTION
+@OBJECTS_OPTION
 def diff(path: Path, table: str, objects: str) -> None:
     """Show what submitting PATH would change."""
 
     async def run(repository: Repository) -> str:
-        return await _text(repository, None)
+        return await _document_text(repository, None)
 
-    accepted = _strip_base(_with_repository(table, objects, run))
+    accepted = _strip_base_version(_with_repository(table, objects, run))
     mine = join(split(path.read_text()))
     lines = difflib.unified_diff(
         accepted.splitlines(), mine.splitlines(), "accepted", str(path), lineterm=""
@@ -134,8 +134,8 @@
 
 
 @main.command()
-@TABLE
-@OBJECTS
+@TABLE_OPTION
+@OBJECTS_OPTION
 @click.option("--limit", default=20, show_default=True)
 def history(table: str, objects: str, limit: int) -> None:
     """List the newest versions: when, who, and their own revision."""
@@ -149,25 +149,25 @@
 
 
 @main.command()
-@ENTRIES
+@ENTRIES_OPTION
 @click.option("--count", default=0, help="End after so many rounds; 0: never.")
 def watch(entries: tuple[str, ...], count: int) -> None:
     """Show which version is in force at each process, again and again."""
     rounds = 0
     while True:
-        click.echo(_versions(entries))
+        click.echo(_version_line(entries))
         rounds += 1
         if rounds == count:
             return
-        time.sleep(WATCH_INTERVAL)
+        time.sleep(WATCH_INTERVAL_S)
 
 
 @main.command()
-@ENTRIES
+@ENTRIES_OPTION
 def status(entries: tuple[str, ...]) -> None:
     """Show each entry host: its endpoints, requests and counters."""
     for url in entries:
-        found = _status(url)
+        found = _read_status(url)
         if found is None:
             click.echo(f"{url}: no answer")
             continue
@@ -183,7 +183,7 @@
 
 @main.command()
 @click.argument("name")
-@ENTRIES
+@ENTRIES_OPTION
 def drain(name: str, entries: tuple[str, ...]) -> None:
     """Let an endpoint or an entry host finish its requests and end."""
     reached = 0
@@ -201,7 +201,9 @@
     click.echo(f"{name} is draining")
 
 
-def _tell(entries: tuple[str, ...], accepted: Accepted, texts: dict[str, str]) -> None:
+def _notify_entry_hosts(
+    entries: tuple[str, ...], accepted: Accepted, texts: dict[str, str]
+) -> None:
     """Bring an accepted version to the entry hosts.
 
     They poll the table service for it as well; when that goes down right
@@ -212,27 +214,27 @@
     offer = msgspec.json.encode(DocumentText(accepted.version, refs, sections))
     for url in entries:
         try:
-            httpx.post(f"{url}/document", content=offer, timeout=TELL_TIMEOUT)
+            httpx.post(f"{url}/document", content=offer, timeout=NOTIFY_TIMEOUT_S)
         except httpx.HTTPError as exc:
             click.echo(f"{url}: not told: {exc}", err=True)
 
 
-def _base(text: str) -> int:
-    found = BASE_PATTERN.search(text)
+def _base_version(text: str) -> int:
+    found = BASE_VERSION_PATTERN.search(text)
     return int(found.group(1)) if found else 0
 
 
-def _strip_base(text: str) -> str:
-    return BASE_PATTERN.sub("", text, count=1).lstrip("\n")
+def _strip_base_version(text: str) -> str:
+    return BASE_VERSION_PATTERN.sub("", text, count=1).lstrip("\n")
 
 
-async def _text(repository: Repository, version: int | None) -> str:
+async def _document_text(repository: Repository, version: int | None) -> str:
     if version is None:
         revision = await repository.head()
     else:
         revision = await repository.revision(version)
     sections = await repository.sections(revision.digests)
-    return BASE_LINE.format(revision.version) + "\n\n" + join(sections)
+    return BASE_VERSION_LINE.format(revision.version) + "\n\n" + join(sections)
 
 
 def _with_repository(
@@ -252,17 +254,17 @@
         raise click.ClickException(str(exc)) from exc
 
 
-def _status(url: str) -> dict[str, Any] | None:
+def _read_status(url: str) -> dict[str, Any] | None:
     try:
         return httpx.get(f"{url}/status").json()
     except httpx.HTTPError:
         return None
 
 
-def _versions(entries: tuple[str, ...]) -> str:
+def _version_line(entries: tuple[str, ...]) -> str:
     seen: dict[str, str] = {}
     for url in entries:
-        found = _status(url)
+        found = _read_status(url)
         if found is None:
             seen[url] = "no answer"
             continue
