--- a/packages/daemon/src/hemlockhalld/process/chooser.py
+++ b/packages/daemon/src/hemlockhalld/process/chooser.py
@@ -47,7 +47,9 @@
         self.data_centre = data_centre
 
     @abstractmethod
-    def choose_chain(self, layers: int, candidates: list[Candidate]) -> list[Endpoint]:
+    def choose_pipeline(
+        self, layers: int, candidates: list[Candidate]
+    ) -> list[Endpoint]:
         """Return a chain over layers 0 up to ``layers``; empty if none."""
 
     @abstractmethod
@@ -72,7 +74,9 @@
 class WeightedChooser(Chooser):
     """The chain of least cost: work before it by speed, and links between."""
 
-    def choose_chain(self, layers: int, candidates: list[Candidate]) -> list[Endpoint]:
+    def choose_pipeline(
+        self, layers: int, candidates: list[Candidate]
+    ) -> list[Endpoint]:
         """Return the chain of least cost, by a pass over rising layers."""
         best: dict[str, tuple[float, Candidate | None]] = {}
         ordered = sorted(candidates, key=lambda c: c.endpoint.first_layer)
@@ -139,10 +143,12 @@
         super().__init__(data_centre)
         self._call_count = 0
 
-    def choose_chain(self, layers: int, candidates: list[Candidate]) -> list[Endpoint]:
+    def choose_pipeline(
+        self, layers: int, candidates: list[Candidate]
+    ) -> list[Endpoint]:
         """Return the first chain found, beginning at another each time."""
         self._call_count += 1
-        chain: list[Endpoint] = []
+        pipeline: list[Endpoint] = []
         covered_layers = 0
         while covered_layers < layers:
             matching = [
@@ -150,9 +156,9 @@
             ]
             if not matching:
                 return []
-            chain.append(matching[self._call_count % len(matching)].endpoint)
-            covered_layers = chain[-1].end_layer
-        return chain
+            pipeline.append(matching[self._call_count % len(matching)].endpoint)
+            covered_layers = pipeline[-1].end_layer
+        return pipeline
 
     def choose_endpoint(self, candidates: list[Candidate]) -> Endpoint | None:
         """Return the endpoints in turn."""
@@ -172,13 +178,13 @@
 def _backtrack(
     last_stage: Candidate, best: dict[str, tuple[float, Candidate | None]]
 ) -> list[Endpoint]:
-    chain: list[Endpoint] = []
+    pipeline: list[Endpoint] = []
     candidate: Candidate | None = last_stage
     while candidate is not None:
-        chain.append(candidate.endpoint)
+        pipeline.append(candidate.endpoint)
         candidate = best[candidate.endpoint.name][1]
-    chain.reverse()
-    return chain
+    pipeline.reverse()
+    return pipeline
 
 
 __all__ = [
--- a/packages/daemon/src/hemlockhalld/process/entry.py
+++ b/packages/daemon/src/hemlockhalld/process/entry.py
@@ -115,7 +115,7 @@
             self.link,
             self.metrics,
             self.version,
-            self._choose_chain,
+            self._choose_pipeline,
             self._cfg.repairs,
         )
         self._requests[params.request_id] = generation
@@ -192,10 +192,10 @@
             found.append(Candidate(endpoint, in_flight, peer.load))
         return found
 
-    def _choose_chain(self, model: Model, excluded: set[str]) -> list[Endpoint]:
+    def _choose_pipeline(self, model: Model, excluded: set[str]) -> list[Endpoint]:
         endpoints = self.document_cache.document.endpoints.values()
         matching = [e for e in endpoints if e.model == model.base]
-        return self._chooser.choose_chain(
+        return self._chooser.choose_pipeline(
             model.layers, self._candidates(matching, excluded)
         )
 
--- a/packages/daemon/src/hemlockhalld/request/generation.py
+++ b/packages/daemon/src/hemlockhalld/request/generation.py
@@ -33,8 +33,8 @@
     from hemlockhall_core.version.document import Endpoint, Model
 
 SILENCE_LIMIT_S = 3.0
-CHAIN_WAIT_S = 5.0
-CHAIN_RETRY_INTERVAL_S = 0.1
+PIPELINE_WAIT_S = 5.0
+PIPELINE_RETRY_INTERVAL_S = 0.1
 RETRY_AFTER_S = 1.0
 NOT_STARTED_REASONS = (RetryReason.ENDPOINT_LEAVING, RetryReason.STALE_VERSION)
 
@@ -92,7 +92,7 @@
     link: Link
     metrics: Metrics
     version: Callable[[], int]
-    choose_chain: Callable[[Model, set[str]], list[Endpoint]]
+    choose_pipeline: Callable[[Model, set[str]], list[Endpoint]]
     max_retries: int
     attempt: int = 0
     route: list[RouteStage] = field(default_factory=list)
@@ -146,10 +146,10 @@
             await wait_for_newer_version(
                 self.version, self._opened_version, self.params.deadline
             )
-        give_up_deadline = min(self.params.deadline, time.monotonic() + CHAIN_WAIT_S)
+        give_up_deadline = min(self.params.deadline, time.monotonic() + PIPELINE_WAIT_S)
         while True:
-            chain = self.choose_chain(self.params.model, self._excluded)
-            if chain:
+            pipeline = self.choose_pipeline(self.params.model, self._excluded)
+            if pipeline:
                 break
             if self.attempt == 0 or time.monotonic() > give_up_deadline:
                 detail = f"no chain of endpoints holds {self.params.model.name}"
@@ -158,10 +158,10 @@
                 )
             # An endpoint that failed once may be back, or be the only one.
             self._excluded.clear()
-            await anyio.sleep(CHAIN_RETRY_INTERVAL_S * random.uniform(0.5, 1.0))
+            await anyio.sleep(PIPELINE_RETRY_INTERVAL_S * random.uniform(0.5, 1.0))
         self._retry_reason = None
         self.attempt += 1
-        self._open_chain(chain)
+        self._open_pipeline(pipeline)
 
     def _count_retry(self, reason: RetryReason) -> None:
         self.metrics.count_retry(reason)
@@ -174,10 +174,10 @@
                 RefusalReason.REPAIR_EXHAUSTED, detail, self.ran, RETRY_AFTER_S
             )
 
-    def _open_chain(self, chain: list[Endpoint]) -> None:
+    def _open_pipeline(self, pipeline: list[Endpoint]) -> None:
         params = self.params
         self.route = [
-            RouteStage(e.name, e.address, e.first_layer, e.end_layer) for e in chain
+            RouteStage(e.name, e.address, e.first_layer, e.end_layer) for e in pipeline
         ]
         self._early_tokens.clear()
         self._close_unused_stages()
--- a/tests/daemon/process/test_chooser.py
+++ b/tests/daemon/process/test_chooser.py
@@ -38,32 +38,32 @@
     return [candidate(f"e{n}", a, b) for n, (a, b) in enumerate(chosen)]
 
 
-class TestChain:
+class TestChoosePipeline:
     @pytest.mark.parametrize("name", sorted(CHOOSERS))
     @given(candidates=layouts())
     def test_chain_covers_the_model_once_in_order(
         self, name: str, candidates: list[Candidate]
     ) -> None:
-        chain = CHOOSERS[name]("attica-1").choose_chain(LAYERS, candidates)
-        if not chain:
+        pipeline = CHOOSERS[name]("attica-1").choose_pipeline(LAYERS, candidates)
+        if not pipeline:
             return
-        assert chain[0].first_layer == 0
-        assert chain[-1].end_layer == LAYERS
-        for before, after in zip(chain, chain[1:], strict=False):
+        assert pipeline[0].first_layer == 0
+        assert pipeline[-1].end_layer == LAYERS
+        for before, after in zip(pipeline, pipeline[1:], strict=False):
             assert before.end_layer == after.first_layer
 
     @given(candidates=layouts())
     def test_weighted_finds_a_chain_wherever_the_naive_one_does(
         self, candidates: list[Candidate]
     ) -> None:
-        naive = CHOOSERS["round_robin"]("attica-1").choose_chain(LAYERS, candidates)
-        ours = CHOOSERS["weighted"]("attica-1").choose_chain(LAYERS, candidates)
+        naive = CHOOSERS["round_robin"]("attica-1").choose_pipeline(LAYERS, candidates)
+        ours = CHOOSERS["weighted"]("attica-1").choose_pipeline(LAYERS, candidates)
         assert bool(ours) or not naive
 
     def test_busy_endpoints_are_passed_by(self) -> None:
         candidates = [candidate("a", 0, 6, busy=9), candidate("b", 0, 6)]
-        chain = CHOOSERS["weighted"]("attica-1").choose_chain(LAYERS, candidates)
-        assert [e.name for e in chain] == ["b"]
+        pipeline = CHOOSERS["weighted"]("attica-1").choose_pipeline(LAYERS, candidates)
+        assert [e.name for e in pipeline] == ["b"]
 
     def test_a_chain_stays_in_one_data_centre_when_it_can(self) -> None:
         candidates = [
@@ -71,8 +71,8 @@
             candidate("far", 3, 6, data_centre="attica-2"),
             candidate("near", 3, 6),
         ]
-        chain = CHOOSERS["weighted"]("attica-1").choose_chain(LAYERS, candidates)
-        assert [e.name for e in chain] == ["a", "near"]
+        pipeline = CHOOSERS["weighted"]("attica-1").choose_pipeline(LAYERS, candidates)
+        assert [e.name for e in pipeline] == ["a", "near"]
 
     def test_work_is_spread_by_speed(self) -> None:
         random.seed(7)
@@ -83,5 +83,5 @@
                 candidate("slow", 0, 6, busy["slow"], 1.0),
                 candidate("fast", 0, 6, busy["fast"], 2.0),
             ]
-            busy[chooser.choose_chain(LAYERS, candidates)[0].name] += 1
+            busy[chooser.choose_pipeline(LAYERS, candidates)[0].name] += 1
         assert 180 <= busy["fast"] <= 220
