--- a/packages/cli/src/hemlockhall_cli/__init__.py
+++ b/packages/cli/src/hemlockhall_cli/__init__.py
@@ -1,3 +1,3 @@
-"""The operators' command line."""
+"""Command line for operators."""
 
 from __future__ import annotations
--- a/packages/cli/src/hemlockhall_cli/main.py
+++ b/packages/cli/src/hemlockhall_cli/main.py
@@ -1,4 +1,4 @@
-"""Command line of the operators."""
+"""Command line for operators: edit, submit and watch the document."""
 
 from __future__ import annotations
 
@@ -41,20 +41,20 @@
     envvar="HEMLOCKHALL_ENTRIES",
     multiple=True,
     required=True,
-    help="Administrative URL of an entry host; give each.",
+    help="Administrative URL of an entry host; repeat for each host.",
 )
 FILE_ARGUMENT = click.argument("path", type=click.Path(exists=True, path_type=Path))
 
 
 @click.group()
 def main() -> None:
-    """Edit, submit and watch the document of hemlockhall."""
+    """Edit, submit and watch the hemlockhall document."""
 
 
 @main.command()
 @FILE_ARGUMENT
 def check(path: Path) -> None:
-    """Check a document without submitting it."""
+    """Validate a document without submitting it."""
     try:
         text = path.read_text()
         split(text)
@@ -68,15 +68,15 @@
 @FILE_ARGUMENT
 @TABLE_OPTION
 @OBJECTS_OPTION
-@click.option("--base", type=int, help="Version that the text was edited from.")
-@click.option("--who", default=getpass.getuser, help="Who submits.")
-@click.option("--revision", default="", help="Your own version control's revision.")
+@click.option("--base", type=int, help="Version that the document was edited from.")
+@click.option("--who", default=getpass.getuser, help="Name of the submitter.")
+@click.option("--revision", default="", help="Revision in your own version control.")
 @click.option(
     "--entry",
     "entries",
     envvar="HEMLOCKHALL_ENTRIES",
     multiple=True,
-    help="Administrative URL of an entry host to tell at once; may be repeated.",
+    help="Administrative URL of an entry host to notify; may be repeated.",
 )
 def submit(
     path: Path,
@@ -87,7 +87,7 @@
     revision: str,
     entries: tuple[str, ...],
 ) -> None:
-    """Make the document in PATH the accepted one."""
+    """Submit the document in PATH."""
     text = path.read_text()
     if base is None:
         base = _base_version(text)
@@ -104,9 +104,9 @@
 @main.command()
 @TABLE_OPTION
 @OBJECTS_OPTION
-@click.option("--version", type=int, help="A version of the history.")
+@click.option("--version", type=int, help="Version to print; default: the newest.")
 def show(table: str, objects: str, version: int | None) -> None:
-    """Print the accepted document, to edit and submit."""
+    """Print an accepted document, to edit and submit."""
 
     async def run(repository: Repository) -> str:
         return await _document_text(repository, version)
@@ -119,15 +119,19 @@
 @TABLE_OPTION
 @OBJECTS_OPTION
 def diff(path: Path, table: str, objects: str) -> None:
-    """Show what submitting PATH would change."""
+    """Show what submitting PATH would change in the accepted document."""
 
     async def run(repository: Repository) -> str:
         return await _document_text(repository, None)
 
     accepted = _strip_base_version(_with_repository(table, objects, run))
-    mine = join(split(path.read_text()))
+    local_text = join(split(path.read_text()))
     lines = difflib.unified_diff(
-        accepted.splitlines(), mine.splitlines(), "accepted", str(path), lineterm=""
+        accepted.splitlines(),
+        local_text.splitlines(),
+        "accepted",
+        str(path),
+        lineterm="",
     )
     for line in lines:
         click.echo(line)
@@ -138,7 +142,7 @@
 @OBJECTS_OPTION
 @click.option("--limit", default=20, show_default=True)
 def history(table: str, objects: str, limit: int) -> None:
-    """List the newest versions: when, who, and their own revision."""
+    """List the newest versions with time, submitter and own revision."""
 
     async def run(repository: Repository) -> list[Revision]:
         return await repository.history(limit)
@@ -150,14 +154,14 @@
 
 @main.command()
 @ENTRIES_OPTION
-@click.option("--count", default=0, help="End after so many rounds; 0: never.")
+@click.option("--count", default=0, help="Number of updates; 0: no limit.")
 def watch(entries: tuple[str, ...], count: int) -> None:
-    """Show which version is in force at each process, again and again."""
-    rounds = 0
+    """Print the version in force at each process at regular intervals."""
+    updates = 0
     while True:
         click.echo(_version_line(entries))
-        rounds += 1
-        if rounds == count:
+        updates += 1
+        if updates == count:
             return
         time.sleep(WATCH_INTERVAL_S)
 
@@ -165,19 +169,21 @@
 @main.command()
 @ENTRIES_OPTION
 def status(entries: tuple[str, ...]) -> None:
-    """Show each entry host: its endpoints, requests and counters."""
+    """Show the peers, requests and counters of each entry host."""
     for url in entries:
-        found = _read_status(url)
-        if found is None:
+        process_status = _read_status(url)
+        if process_status is None:
             click.echo(f"{url}: no answer")
             continue
         head = "{name} ({data_centre}): version {version}, {state}, "
-        click.echo(head.format(**found) + f"{found['in_flight']} in flight")
-        for peer in found["peers"]:
+        click.echo(
+            head.format(**process_status) + f"{process_status['in_flight']} in flight"
+        )
+        for peer in process_status["peers"]:
             alive = "alive" if peer["alive"] else "dead"
             line = "  {name}: version {version}, {state}, load {load}, "
             click.echo(line.format(**peer) + alive)
-        for name, value in sorted(found["counters"].items()):
+        for name, value in sorted(process_status["counters"].items()):
             click.echo(f"  {name} {value:g}")
 
 
@@ -185,7 +191,7 @@
 @click.argument("name")
 @ENTRIES_OPTION
 def drain(name: str, entries: tuple[str, ...]) -> None:
-    """Let an endpoint or an entry host finish its requests and end."""
+    """Let an endpoint or an entry host finish its requests and stop."""
     reached = 0
     for url in entries:
         try:
@@ -204,24 +210,27 @@
 def _notify_entry_hosts(
     entries: tuple[str, ...], accepted: Accepted, texts: dict[str, str]
 ) -> None:
-    """Bring an accepted version to the entry hosts.
+    """Send an accepted document to the entry hosts.
 
-    They poll the table service for it as well; when that goes down right
-    after the acceptance, this is the only way they learn of the version.
+    They also poll the table service for it, but would not get the version if
+    that service failed right after the acceptance.
     """
-    refs = [SectionRef(name, found) for name, found in accepted.digests.items()]
+    refs = [
+        SectionRef(name, section_digest)
+        for name, section_digest in accepted.digests.items()
+    ]
     sections = [SectionText(n, digest(t), t) for n, t in texts.items()]
-    offer = msgspec.json.encode(DocumentText(accepted.version, refs, sections))
+    body = msgspec.json.encode(DocumentText(accepted.version, refs, sections))
     for url in entries:
         try:
-            httpx.post(f"{url}/document", content=offer, timeout=NOTIFY_TIMEOUT_S)
+            httpx.post(f"{url}/document", content=body, timeout=NOTIFY_TIMEOUT_S)
         except httpx.HTTPError as exc:
             click.echo(f"{url}: not told: {exc}", err=True)
 
 
 def _base_version(text: str) -> int:
-    found = BASE_VERSION_PATTERN.search(text)
-    return int(found.group(1)) if found else 0
+    match = BASE_VERSION_PATTERN.search(text)
+    return int(match.group(1)) if match else 0
 
 
 def _strip_base_version(text: str) -> str:
@@ -262,18 +271,18 @@
 
 
 def _version_line(entries: tuple[str, ...]) -> str:
-    seen: dict[str, str] = {}
+    versions: dict[str, str] = {}
     for url in entries:
-        found = _read_status(url)
-        if found is None:
-            seen[url] = "no answer"
+        process_status = _read_status(url)
+        if process_status is None:
+            versions[url] = "no answer"
             continue
-        seen[found["name"]] = str(found["version"])
-        for peer in found["peers"]:
-            seen.setdefault(
+        versions[process_status["name"]] = str(process_status["version"])
+        for peer in process_status["peers"]:
+            versions.setdefault(
                 peer["name"], str(peer["version"]) if peer["alive"] else "dead"
             )
-    return "  ".join(f"{name}={version}" for name, version in sorted(seen.items()))
+    return "  ".join(f"{name}={version}" for name, version in sorted(versions.items()))
 
 
 if __name__ == "__main__":
