--- a/packages/daemon/src/hemlockhalld/request/__init__.py
+++ b/packages/daemon/src/hemlockhalld/request/__init__.py
@@ -1,3 +1,3 @@
-"""What lives as long as a request."""
+"""State and formats of a single request."""
 
 from __future__ import annotations
--- a/packages/daemon/src/hemlockhalld/request/body.py
+++ b/packages/daemon/src/hemlockhalld/request/body.py
@@ -1,4 +1,4 @@
-"""The bodies that callers of models send, validated."""
+"""Request bodies of model requests, and their validation."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Part(BaseModel):
-    """A part of a message; only text can be used."""
+    """A part of a message; only text is supported."""
 
     type: Literal["text"]
     text: str
@@ -25,7 +25,7 @@
     content: str | list[Part] | None = None
 
     def text(self) -> str:
-        """Return the message's text."""
+        """Return the text of all parts."""
         if self.content is None:
             return ""
         if isinstance(self.content, str):
@@ -34,9 +34,9 @@
 
 
 class ModelBody(BaseModel):
-    """What chat and plain completions have in common.
+    """Fields that chat and plain completions have in common.
 
-    Other members of the protocol are accepted and not used.
+    Other fields of the protocol are accepted and ignored.
     """
 
     model_config = ConfigDict(extra="ignore")
@@ -49,7 +49,7 @@
     n: Literal[1] = 1
 
     def prompt_text(self) -> str:
-        """Return the prompt as one text."""
+        """Return the prompt as one string."""
         raise NotImplementedError
 
 
@@ -59,7 +59,7 @@
     messages: Annotated[list[ChatMessage], Field(min_length=1)]
 
     def prompt_text(self) -> str:
-        """Return the conversation as one text, each turn with its role."""
+        """Return the conversation as one string, each message with its role."""
         turns = [f"{m.role}: {m.text()}" for m in self.messages]
         return "\n".join(turns) + "\nassistant:"
 
@@ -75,7 +75,7 @@
 
 
 def parse_body(body_type: type[ModelBody], data: bytes) -> ModelBody:
-    """Return a validated body; raise :class:`Problem` listing every fault."""
+    """Return the validated body; raise :class:`Problem` with all errors."""
     try:
         raw: Any = msgspec.json.decode(data)
     except msgspec.DecodeError as exc:
--- a/packages/daemon/src/hemlockhalld/request/claim.py
+++ b/packages/daemon/src/hemlockhalld/request/claim.py
@@ -1,10 +1,9 @@
-"""At most once: claims of idempotency keys in the table service.
+"""At-most-once calls by claims of idempotency keys in the table service.
 
-Before a call that must not be repeated, the side process inserts a row under
-the caller's key. The insert succeeds once, so of all side processes that
-were ever asked for the call, one makes it. The row then keeps the outcome.
-A claim never expires: who takes over after a pause cannot know whether the
-first holder made the call.
+Before a non-idempotent call the side process inserts a row under the caller's
+key. The insert succeeds only once, so only one of the side processes that
+receive the call makes it. The row then stores the outcome. A claim never
+expires: a later holder could not know whether the first one made the call.
 """
 
 from __future__ import annotations
@@ -37,7 +36,11 @@
 
 
 class Claim(msgspec.Struct):
-    """The row of a key: who holds it, the call's digest, and the outcome."""
+    """Value of a claim row.
+
+    ``holder`` identifies the claim, ``digest`` the call, and the other fields
+    are the outcome, valid once ``done`` is set; ``body`` is base64.
+    """
 
     holder: str
     digest: str
@@ -48,13 +51,13 @@
 
 
 def claim_key(call: Call) -> str:
-    """Return the row's key, which differs by customer and service."""
+    """Return the row key, which is separate for each customer and service."""
     key_sha256 = hashlib.sha256(call.key.encode()).hexdigest()
     return f"{CLAIM_KEY_PREFIX}{call.customer}/{call.service}/{key_sha256}"
 
 
 def call_digest(call: Call) -> str:
-    """Return a digest of what the caller asked for under the key."""
+    """Return the SHA-256 of the method, path, query and body of a call."""
     parts = (call.method, call.path, call.query)
     value = hashlib.sha256("\n".join(parts).encode())
     value.update(call.body)
@@ -63,7 +66,7 @@
 
 @dataclass
 class ClaimResult:
-    """The claim that stands under a key, and whether it was just made here."""
+    """The claim of a key; ``owned`` if this call made it just now."""
 
     claim: Claim
     owned: bool
@@ -71,7 +74,7 @@
 
 
 class Claims:
-    """Takes, releases and completes claims for one side process."""
+    """Acquires, releases and completes the claims of one side process."""
 
     def __init__(self, table: Table, boot: int) -> None:
         self._table = table
@@ -81,10 +84,10 @@
         self._outcomes: dict[str, ClaimResult] = {}
 
     async def acquire(self, key: str, digest: str) -> ClaimResult:
-        """Claim a key, or return the claim that stands already.
+        """Claim a key, or return the claim that already exists.
 
-        Raises :class:`StoreUnavailableError` when no claim could be made;
-        then the call must not be made.
+        Raises :class:`StoreUnavailableError` if it is not certain that the key
+        was claimed; then the call must not be made.
         """
         self._claim_count += 1
         claim = Claim(f"{self._boot}-{self._claim_count}", digest)
@@ -95,29 +98,29 @@
                 version = await self._table.commit(insert)
                 return ClaimResult(claim, True, version)
             except (StoreConflictError, StoreOutcomeUnknownError):
-                found = await self._read_back(key, claim)
-            if found is not None:
-                return found
+                result = await self._read_back(key, claim)
+            if result is not None:
+                return result
         self._abandon(key, claim)
-        raise StoreUnavailableError("the claim could not be settled", 1.0)
+        raise StoreUnavailableError("the claim could not be confirmed", 1.0)
 
     async def _read_back(self, key: str, claim: Claim) -> ClaimResult | None:
-        """Read back who holds the key after a lost answer or a conflict."""
+        """Read the holder of the key after a lost response or a conflict."""
         try:
             row = await self._table.read(key)
             if row is None:
                 return None
-            found = msgspec.convert(row.value, Claim)
-            if found.holder in self._abandoned.get(key, ()):
+            existing = msgspec.convert(row.value, Claim)
+            if existing.holder in self._abandoned.get(key, ()):
                 await self._delete_row(key, row)
                 return None
         except PlatformError as exc:
-            # The insert may have taken effect, or may do so later. The call
-            # is not made under it, and the row is taken away when the store
-            # answers again, so that "not run" stays true and a repeat can run.
+            # The insert may have taken effect, or may do so later. The call is
+            # not made, and the row is removed when the store responds again, so
+            # that "not executed" stays true and the caller's retry can run.
             self._abandon(key, claim)
             raise StoreUnavailableError("the claim could not be read", 1.0) from exc
-        return ClaimResult(found, found.holder == claim.holder, row.version)
+        return ClaimResult(existing, existing.holder == claim.holder, row.version)
 
     async def read(self, key: str) -> Claim | None:
         """Return the claim of a key, or None."""
@@ -125,14 +128,14 @@
         return msgspec.convert(row.value, Claim) if row else None
 
     async def release(self, key: str, claim: Claim) -> None:
-        """Give a key back whose call was not made."""
+        """Release the key of a call that was not made."""
         self._abandon(key, claim)
         await self._remove_abandoned(key)
 
     async def complete(
         self, key: str, result: ClaimResult, response: CallResponse
     ) -> None:
-        """Record the outcome; kept in memory while the store is away."""
+        """Write the outcome; kept in memory while the store is unavailable."""
         claim = result.claim
         claim.done = True
         claim.status = response.status
@@ -142,7 +145,7 @@
         await self._write_outcome(key)
 
     async def run(self) -> None:
-        """Write what the store has not taken yet, for ever."""
+        """Retry unwritten outcomes and removals until cancelled."""
         while True:
             await anyio.sleep(WRITE_RETRY_INTERVAL_S)
             for key in list(self._outcomes):
@@ -151,23 +154,23 @@
                 await self._remove_abandoned(key)
 
     def pending_outcomes(self) -> int:
-        """Return how many outcomes the store has not taken yet."""
+        """Return the number of outcomes not yet written to the store."""
         return len(self._outcomes)
 
     async def _write_outcome(self, key: str) -> None:
         result = self._outcomes.get(key)
         if result is None:
-            # Written meanwhile: a new outcome and the round that repeats
-            # unwritten ones may come to the same key at once.
+            # ``complete`` and ``run`` may handle the same key concurrently, and
+            # the other one has written it.
             return
         value = msgspec.to_builtins(result.claim)
         write = Transaction([Check(key, result.row_version)], [Put(key, value)])
         try:
             await self._table.commit(write)
         except StoreConflictError:
-            # Only the holder writes to its claim, so an earlier write of the
-            # outcome, whose answer was lost, has taken effect.
-            logger.bind(key=key).info("outcome was recorded already")
+            # Only the holder writes to its claim, so an earlier write whose
+            # response was lost has taken effect.
+            logger.bind(key=key).info("outcome already written")
         except PlatformError:
             return
         self._outcomes.pop(key, None)
@@ -176,8 +179,8 @@
         try:
             row = await self._table.read(key)
             if row is not None:
-                found = msgspec.convert(row.value, Claim)
-                if found.holder in self._abandoned.get(key, ()):
+                existing = msgspec.convert(row.value, Claim)
+                if existing.holder in self._abandoned.get(key, ()):
                     await self._delete_row(key, row)
         except PlatformError:
             return
--- a/packages/daemon/src/hemlockhalld/request/generation.py
+++ b/packages/daemon/src/hemlockhalld/request/generation.py
@@ -1,4 +1,4 @@
-"""One caller's model request at the entry host, over all its attempts."""
+"""A model request at the entry host, over all its attempts."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True)
 class PeerLost:
-    """News that a peer is dead or began anew."""
+    """A peer is considered dead or has restarted."""
 
     name: str
     restarted: bool
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True)
 class Token:
-    """A token to deliver; ``finish`` is not empty on the last."""
+    """A token for the caller; ``finish`` is the finish reason of the last."""
 
     text: str
     finish: str
@@ -57,7 +57,7 @@
 
 @dataclass
 class GenerationParams:
-    """What a caller asked for."""
+    """Parameters of a model request; ``deadline`` is a monotonic time."""
 
     request_id: str
     model: Model
@@ -70,11 +70,13 @@
 
 @dataclass
 class Generation:
-    """Runs attempts until the answer is whole; yields its tokens in order.
+    """Runs attempts until the response is complete; yields tokens in order.
+
+    A retry resumes after the tokens that were already delivered.
 
     Parameters
     ----------
-    work : Work
+    params : GenerationParams
         The request.
     link : Link
         Connections to the side processes.
@@ -82,10 +84,10 @@
         Counters.
     version : callable
         Returns the document version in force.
-    choose : callable
-        Returns a chain for a model that avoids some endpoints.
-    repairs : int
-        How many attempts may follow the first.
+    choose_pipeline : callable
+        Returns a pipeline for a model without the excluded endpoints.
+    max_retries : int
+        Number of attempts after the first.
     """
 
     params: GenerationParams
@@ -111,15 +113,15 @@
         ](math.inf)
 
     def post(self, event: OutputToken | Failed | PeerLost) -> None:
-        """Take a frame or the news of a failure."""
+        """Queue a token or a failure for the current attempt."""
         self._inbox_writer.send_nowait(event)
 
     def uses(self, name: str) -> bool:
-        """Return whether the present attempt runs at an endpoint."""
+        """Return whether the current attempt runs at an endpoint."""
         return any(stage.endpoint == name for stage in self.route)
 
     def close(self) -> None:
-        """Free the request's slots at all stages that it ever used."""
+        """Free the slots of the request at all endpoints that it used."""
         message = Close(self.params.request_id, self.attempt)
         for name, address in self._used_addresses.items():
             self.link.peer(name, address).post(message)
@@ -127,7 +129,7 @@
         self._inbox_writer.close()
 
     async def tokens(self) -> AsyncIterator[Token]:
-        """Yield the answer's tokens; raise :class:`Problem` on giving up."""
+        """Yield the tokens; raise :class:`Problem` when the request fails."""
         while True:
             await self._start_attempt()
             while self._retry_reason is None:
@@ -139,7 +141,7 @@
                     return
 
     async def _start_attempt(self) -> None:
-        """Start an attempt; wait for a chain if it is a repair."""
+        """Start an attempt; a retry waits for a pipeline if there is none."""
         if self._retry_reason is not None:
             self._count_retry(self._retry_reason)
         if self._retry_reason is RetryReason.STALE_VERSION:
@@ -152,11 +154,11 @@
             if pipeline:
                 break
             if self.attempt == 0 or time.monotonic() > give_up_deadline:
-                detail = f"no chain of endpoints holds {self.params.model.name}"
+                detail = f"no pipeline of ready endpoints for {self.params.model.name}"
                 raise Problem(
                     RefusalReason.NO_ENDPOINT, detail, self.ran, RETRY_AFTER_S
                 )
-            # An endpoint that failed once may be back, or be the only one.
+            # An excluded endpoint may have recovered, or be the only one.
             self._excluded.clear()
             await anyio.sleep(PIPELINE_RETRY_INTERVAL_S * random.uniform(0.5, 1.0))
         self._retry_reason = None
@@ -166,10 +168,10 @@
     def _count_retry(self, reason: RetryReason) -> None:
         self.metrics.count_retry(reason)
         logger.bind(request=self.params.request_id, attempt=self.attempt).info(
-            "repairing: {}", reason.value
+            "retrying the generation: {}", reason.value
         )
         if self.attempt > self.max_retries:
-            detail = f"{self.max_retries} repairs failed, the last: {reason.value}"
+            detail = f"{self.max_retries} retries failed, the last: {reason.value}"
             raise Problem(
                 RefusalReason.REPAIR_EXHAUSTED, detail, self.ran, RETRY_AFTER_S
             )
@@ -221,7 +223,7 @@
             self.link.peer(name, address).post(message)
 
     async def _next_token(self) -> Token | None:
-        """Return the next token in order; None after other news."""
+        """Return the next token in order; None after any other event."""
         token = self._early_tokens.pop(len(self._tokens), None)
         if token is not None:
             return self._deliver(token)
@@ -234,8 +236,8 @@
         if isinstance(event, PeerLost):
             self._handle_peer_lost(event)
         elif event.attempt != self.attempt:
-            # A stage of an earlier attempt may still send: a frozen one after
-            # it resumes. Its frames are counted and dropped.
+            # Stages of an earlier attempt may still send, for example a frozen
+            # process after it resumes. Their messages are counted and dropped.
             self.metrics.count_ignored_message("superseded")
         elif isinstance(event, Failed):
             self._handle_failure(event)
@@ -269,9 +271,9 @@
     def _send_probes(self) -> None:
         """Ask the stages whether they still have the request.
 
-        A stage may have dropped it, and the caller would wait for nothing
-        until the deadline. Silence alone is no reason to repair: under load
-        a token may take long, and a repair would add to the load.
+        If a stage has dropped it, no token comes before the deadline. Silence
+        alone is no reason for a retry: under load a token may take long, and
+        a retry would add to the load.
         """
         message = AttemptProbe(self.params.request_id, self.attempt)
         for stage in self.route:
@@ -298,7 +300,7 @@
 
     @property
     def token_count(self) -> int:
-        """Number of tokens delivered."""
+        """Number of delivered tokens."""
         return len(self._tokens)
 
 
--- a/packages/daemon/src/hemlockhalld/request/problem.py
+++ b/packages/daemon/src/hemlockhalld/request/problem.py
@@ -1,4 +1,4 @@
-"""Refusals as callers see them: problem documents (RFC 9457)."""
+"""Refusals of requests as problem documents (RFC 9457)."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class ProblemDocument(msgspec.Struct, omit_defaults=True):
-    """Body of a refusal; ``retry_after`` is in seconds."""
+    """Body of a refusal; ``retry_after`` in seconds."""
 
     type: str
     title: str
@@ -47,18 +47,18 @@
 
 
 class Problem(Exception):
-    """A refusal, raised where it is decided.
+    """A refused or failed request.
 
     Parameters
     ----------
     reason : RefusalReason
-        Why; decides the HTTP status.
+        Reason, which determines the HTTP status.
     detail : str
-        What is wrong and what to do.
+        What is wrong and how to fix it.
     ran : Ran
-        Whether the request had an effect at a back end.
+        Whether the request ran at a back end.
     retry_after : float, optional
-        Seconds after which coming back helps.
+        Seconds after which a retry may succeed.
     """
 
     def __init__(
@@ -94,7 +94,7 @@
         )
 
     def headers(self) -> tuple[tuple[bytes, bytes], ...]:
-        """Return ``Retry-After``, in whole seconds, where coming back helps."""
+        """Return ``Retry-After`` in whole seconds, if a retry may succeed."""
         if not self.retry_after:
             return ()
         seconds = str(math.ceil(self.retry_after)).encode()
--- a/packages/daemon/src/hemlockhalld/request/response_format.py
+++ b/packages/daemon/src/hemlockhalld/request/response_format.py
@@ -1,4 +1,4 @@
-"""Answers of models in the protocol's formats, whole or as events."""
+"""Response formats of models: complete responses and streamed events."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Choice(msgspec.Struct, omit_defaults=True):
-    """The one choice of an answer or of an event."""
+    """The single choice of a response or an event."""
 
     index: int
     finish_reason: str | None
@@ -25,7 +25,7 @@
 
 
 class Usage(msgspec.Struct):
-    """Token counts of an answer."""
+    """Token counts of a response."""
 
     prompt_tokens: int
     completion_tokens: int
@@ -33,7 +33,7 @@
 
 
 class Completion(msgspec.Struct, omit_defaults=True):
-    """An answer, or one event of a streamed one."""
+    """A complete response, or one event of a streamed response."""
 
     id: str
     object: str
@@ -44,21 +44,21 @@
 
 
 class ChatText(msgspec.Struct, omit_defaults=True):
-    """A message or a part of one."""
+    """A message, or the delta of a message."""
 
     content: str
     role: str | None = None
 
 
 class ResponseFormat(ABC):
-    """How one kind of answer is written.
+    """Base of the formats; each encodes the responses of one URL.
 
     Parameters
     ----------
     request : str
         Id of the request.
     model : str
-        The model as the caller named it.
+        Name of the model in the request.
     """
 
     response_object: str
@@ -71,7 +71,7 @@
 
     @abstractmethod
     def response_choice(self, text: str, finish: str) -> Choice:
-        """Return the choice of a whole answer."""
+        """Return the choice of a complete response."""
 
     @abstractmethod
     def event_choice(self, text: str, first: bool, finish: str | None) -> Choice:
@@ -80,26 +80,26 @@
     def encode_response(
         self, text: str, finish: str, prompt: int, completion: int
     ) -> bytes:
-        """Return a whole answer."""
+        """Return a complete response as JSON."""
         usage = Usage(prompt, completion, prompt + completion)
         return self._encode(
             self.response_object, self.response_choice(text, finish), usage
         )
 
     def encode_event(self, text: str, first: bool, finish: str | None) -> bytes:
-        """Return one server-sent event."""
+        """Return one server-sent event with the next text."""
         choice = self.event_choice(text, first, finish)
         return b"data: " + self._encode(self.event_object, choice, None) + b"\n\n"
 
-    def _encode(self, kind: str, choice: Choice, usage: Usage | None) -> bytes:
+    def _encode(self, object_type: str, choice: Choice, usage: Usage | None) -> bytes:
         response = Completion(
-            self._id, kind, self._created, self._model, [choice], usage
+            self._id, object_type, self._created, self._model, [choice], usage
         )
         return msgspec.json.encode(response)
 
 
 class ChatFormat(ResponseFormat):
-    """Answers of ``/v1/chat/completions``."""
+    """Responses of ``/v1/chat/completions``."""
 
     response_object = "chat.completion"
     event_object = "chat.completion.chunk"
@@ -109,12 +109,12 @@
         return Choice(0, finish, message=ChatText(text, "assistant"))
 
     def event_choice(self, text: str, first: bool, finish: str | None) -> Choice:
-        """Return the choice with a delta; the first carries the role."""
+        """Return the choice with a delta; the first one has the role."""
         return Choice(0, finish, delta=ChatText(text, "assistant" if first else None))
 
 
 class TextFormat(ResponseFormat):
-    """Answers of ``/v1/completions``."""
+    """Responses of ``/v1/completions``."""
 
     response_object = "text_completion"
     event_object = "text_completion"
@@ -124,7 +124,7 @@
         return Choice(0, finish, text=text)
 
     def event_choice(self, text: str, first: bool, finish: str | None) -> Choice:
-        """Return the choice with a part of the text."""
+        """Return the choice with the next text."""
         return Choice(0, finish, text=text)
 
 
@@ -138,14 +138,14 @@
 
 
 class ModelList(msgspec.Struct):
-    """Answer of ``/v1/models``."""
+    """Body of the response to ``/v1/models``."""
 
     data: list[ModelEntry]
     object: str = "list"
 
 
 def error_event(problem: Problem) -> bytes:
-    """Return the event that ends a stream which cannot be completed."""
+    """Return the event that ends a failed stream."""
     return b'data: {"error":' + problem.body() + b"}\n\n"
 
 
--- a/packages/daemon/src/hemlockhalld/request/response_sender.py
+++ b/packages/daemon/src/hemlockhalld/request/response_sender.py
@@ -1,4 +1,4 @@
-"""Sending of one HTTP answer to a caller."""
+"""HTTP response to one caller, over ASGI."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class ResponseSender:
-    """Sends one answer; knows whether it has begun."""
+    """Sends one response, complete or as a stream of events."""
 
     def __init__(self, send: Any, entry: Entry) -> None:
         self._send = send
@@ -24,27 +24,27 @@
         self._streaming = False
 
     def _close_headers(self) -> tuple[tuple[bytes, bytes], ...]:
-        # A client that keeps its connection to a host that is leaving would
-        # see its next request cut off.
+        # A leaving host closes its connections: a client that reused one would
+        # lose its next request.
         return ((b"connection", b"close"),) if self._entry.leaving else ()
 
     async def send_raw(
         self, status: int, body: bytes, headers: tuple[tuple[bytes, bytes], ...]
     ) -> None:
-        """Send a whole answer with given headers."""
+        """Send a complete response with the given headers."""
         headers = (*headers, *self._close_headers())
         start = {"type": "http.response.start", "status": status, "headers": headers}
         await self._send(start)
         await self._send({"type": "http.response.body", "body": body})
 
     async def send_whole(self, status: int, body: bytes, content_type: str) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         await send_response(
             self._send, status, body, content_type, self._close_headers()
         )
 
     async def send_event(self, data: bytes, *, last: bool = False) -> None:
-        """Send one server-sent event; the first one begins the answer."""
+        """Send one server-sent event; the first one starts the response."""
         if not self._streaming:
             self._streaming = True
             headers = (
@@ -58,7 +58,7 @@
         await self._send(body)
 
     async def send_problem(self, problem: Problem) -> None:
-        """Send a refusal; inside a stream it is the last event, without DONE."""
+        """Send a refusal; in a started stream it is the last event, without DONE."""
         self._entry.metrics.count_refusal(problem.reason)
         self._entry.metrics.count_request("refused")
         logger.bind(reason=problem.reason.value, ran=problem.ran.value).info(
--- a/packages/daemon/src/hemlockhalld/request/service_call.py
+++ b/packages/daemon/src/hemlockhalld/request/service_call.py
@@ -1,4 +1,4 @@
-"""One caller's call of a plain service at the entry host."""
+"""A call of a plain service at the entry host, over all its attempts."""
 
 from __future__ import annotations
 
@@ -38,10 +38,10 @@
 
 @dataclass
 class ServiceCall:
-    """Tries side processes until one answers, as far as that is safe.
+    """Sends a call to one side process after another until one responds.
 
-    An idempotent call may run twice. Another carries its key, and the claim
-    of the key lets one side process make it, whichever were asked.
+    An idempotent call may run twice. A non-idempotent call carries a key, and
+    only the side process that claims the key makes the call.
     """
 
     call: Call
@@ -61,15 +61,15 @@
         ](math.inf)
 
     def post(self, event: CallResponse | CallRefused | PeerLost) -> None:
-        """Take an answer or the news of a failure."""
+        """Queue a response or a failure for the current attempt."""
         self._inbox_writer.send_nowait(event)
 
     def uses(self, name: str) -> bool:
-        """Return whether the call is at an endpoint now."""
+        """Return whether the call was last sent to an endpoint."""
         return self.endpoint_name == name
 
     def close(self) -> None:
-        """Keep the call from being started after its caller was answered."""
+        """Cancel the call if it has not started."""
         if self._sent_call is not None and self.endpoint_name in self.link.peers:
             peer = self.link.peers[self.endpoint_name]
             if not peer.cancel(self._sent_call):
@@ -77,7 +77,7 @@
         self._inbox_writer.close()
 
     async def response(self) -> CallResponse:
-        """Return the service's answer; raise :class:`Problem` without one."""
+        """Return the response of the service; raise :class:`Problem` without one."""
         for attempt in range(1, MAX_ATTEMPTS + 1):
             peer = self._send(attempt)
             event = await self._next_event(attempt)
@@ -88,7 +88,7 @@
             retry = self._retry_reason(event, peer, sent)
             self.metrics.count_retry(retry)
             logger.bind(request=self.call.request, attempt=attempt).info(
-                "trying again: {}", retry.value
+                "retrying the call: {}", retry.value
             )
             if retry is RetryReason.STALE_VERSION:
                 await wait_for_newer_version(self.version, sent.version, self.deadline)
@@ -131,7 +131,7 @@
 
     def _deadline_problem(self) -> Problem:
         peer = self.link.peers.get(self.endpoint_name)
-        # What still waits in this process was never sent, so it did not run.
+        # A call that is still queued here was never sent, so it did not run.
         if peer is not None and self._sent_call and peer.cancel(self._sent_call):
             self._sent_call = None
         elif self.ran is Ran.NO:
@@ -142,10 +142,10 @@
     def _retry_reason(
         self, event: CallRefused | PeerLost, peer: Peer, sent: Call
     ) -> RetryReason:
-        """Return why the call is tried again; raise if it must not be."""
+        """Return why the call is retried; raise :class:`Problem` if it is not."""
         self._excluded.add(self.endpoint_name)
         if isinstance(event, PeerLost):
-            # What waits for a peer that is gone would run when it is back.
+            # A queued call would still run when the peer comes back.
             if not peer.cancel(sent):
                 self.ran = Ran.UNKNOWN
             return (
@@ -153,7 +153,7 @@
             )
         if event.reason not in RETRY_REASONS:
             refusal, ran = RefusalReason(event.reason), Ran(event.ran)
-            # An earlier attempt at another endpoint may have run all the same.
+            # An earlier attempt at another endpoint may have run.
             if ran is Ran.NO and self.ran is Ran.UNKNOWN:
                 ran = Ran.UNKNOWN
             if refusal is RefusalReason.NO_ENDPOINT and ran is Ran.NO:
--- a/packages/daemon/src/hemlockhalld/request/stage.py
+++ b/packages/daemon/src/hemlockhalld/request/stage.py
@@ -1,4 +1,4 @@
-"""One model request at one stage of its pipeline."""
+"""State of a model request at one stage of its pipeline."""
 
 from __future__ import annotations
 
@@ -14,16 +14,20 @@
 
 
 class GapError(Exception):
-    """A hop left out positions."""
+    """Activations were received with positions missing before them."""
 
 
 @dataclass
 class Stage:
-    """State of a request here, kept over its attempts.
-
-    ``length`` counts the positions in the engine's KV cache. Outputs from
-    position ``base`` on are retained, so that after the loss of the next
-    stage its successor gets them without a second run of the layers here.
+    """State of a request at this stage, kept over its attempts.
+
+    ``cached_positions`` counts the positions in the engine's KV cache, and
+    ``running_positions`` those in the step under way. Outputs from position
+    ``outputs_start`` on are retained, so that the replacement of a lost next
+    stage gets them without running the layers here again; those before
+    ``sent_positions`` were sent. With ``awaiting_request`` the next stage has
+    not yet requested the positions that it lacks after a retry. ``next_open``
+    is an attempt that starts after the step under way.
     """
 
     open: Open
@@ -67,12 +71,12 @@
         return self.open.route[self.open.stage_index - 1]
 
     def begin_attempt(self, message: Open) -> None:
-        """Begin an attempt with what earlier attempts left in the KV cache."""
+        """Start an attempt, reusing the KV cache of earlier attempts."""
         self.open = message
         self.deadline = time.monotonic() + message.expires_in_s
         known = len(message.known_tokens)
-        # Positions past the tokens that the caller has may stem from a token
-        # that a lost stage sampled and nobody delivered.
+        # Positions after the delivered tokens may come from a token that a lost
+        # stage sampled and that was never delivered.
         limit = self.prompt_length + known if self.prompt_length else 0
         self.rewind(min(self.cached_positions, limit))
         self.inputs.clear()
@@ -88,31 +92,31 @@
         self.sent_positions = 0
 
     def rewind(self, length: int) -> None:
-        """Take positions from ``length`` on for not computed."""
+        """Discard the positions from ``length`` on; they are computed again."""
         self.cached_positions = length
         if length < self.outputs_start:
             self.outputs_start = length
         del self.outputs[max(0, length - self.outputs_start) :]
 
     def add_activations(self, message: Activations) -> bool:
-        """Keep a hop's activations; return False if all were here already.
+        """Queue received activations; return False if all were duplicates.
 
-        Raises :class:`GapError` when positions are missing before it.
+        Raises :class:`GapError` when positions are missing before them.
         """
         expected = self.cached_positions + self.running_positions + len(self.inputs)
         if message.position > expected:
             msg = f"expected position {expected}, got {message.position}"
             raise GapError(msg)
         repeated = expected - message.position
-        fresh = message.activations[repeated:]
+        new_activations = message.activations[repeated:]
         self.prompt_length = message.prompt_length
-        self.inputs.extend(fresh)
-        return bool(fresh)
+        self.inputs.extend(new_activations)
+        return bool(new_activations)
 
     def next_item(self) -> StepItem | None:
-        """Return the work that can be done now, or None."""
-        # Until the next stage has said what it lacks, a rewind may come; a
-        # step under way could then append positions that are to be run again.
+        """Return the item for the next step, or None if there is none."""
+        # Until the next stage has requested what it lacks, a rewind may follow,
+        # and a step under way would append positions that must be computed again.
         if self.running_positions or self.awaiting_request:
             return None
         item = StepItem(
@@ -152,8 +156,8 @@
         return item
 
     def _should_sample(self) -> bool:
-        # Positions before the last known token have been sampled already by
-        # an earlier attempt; sampling them again would give a second answer.
+        # An earlier attempt has sampled the positions before the last known
+        # token; sampling them again could give a different response.
         known_positions = self.prompt_length + len(self.tokens)
         return (
             self.is_last
@@ -161,7 +165,7 @@
         )
 
     def apply_result(self, result: StepResult) -> None:
-        """Note what a step computed."""
+        """Apply the result of a step."""
         self.running_positions = 0
         self.cached_positions = result.position + len(result.activations)
         self.prompt_length = result.prompt_length
@@ -173,7 +177,7 @@
             self.outputs.extend(result.activations)
 
     def take_unsent(self) -> list[bytes]:
-        """Return outputs that the next stage lacks, and count them as sent."""
+        """Return the outputs not yet sent and count them as sent."""
         if self.awaiting_request or self.is_last:
             return []
         unsent = self.outputs[self.sent_positions - self.outputs_start :]
@@ -181,7 +185,10 @@
         return unsent
 
     def release_outputs(self) -> int:
-        """Forget retained outputs that were sent; return their bytes."""
+        """Release the retained outputs; return their size in bytes.
+
+        Nothing is released while a request of the next stage is awaited.
+        """
         if self.awaiting_request:
             return 0
         size = sum(len(output) for output in self.outputs)
--- a/packages/daemon/src/hemlockhalld/request/version_wait.py
+++ b/packages/daemon/src/hemlockhalld/request/version_wait.py
@@ -1,4 +1,4 @@
-"""Waiting for a newer version of the document than a request was sent with."""
+"""Wait for a newer document version than a request was sent with."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 async def wait_for_newer_version(
     version: Callable[[], int], sent_version: int, deadline: float
 ) -> None:
-    """Return when a newer version is in force, or when waiting is over.
+    """Return when a newer version is in force, or at the time limit.
 
-    A side process refuses a request of an older version than its own. The
-    entry host hears of the newer one with that refusal, and fetches it; a
-    request tried again at once would use up its tries before it is there.
+    A side process refuses a request with an older version than its own. The
+    entry host then fetches the newer version. Without this wait, a request
+    would use up its retries before that version arrives.
     """
     give_up_deadline = min(deadline, time.monotonic() + MAX_WAIT_S)
     while version() <= sent_version and time.monotonic() < give_up_deadline:
