--- a/packages/daemon/src/hemlockhalld/__init__.py
+++ b/packages/daemon/src/hemlockhalld/__init__.py
@@ -1,3 +1,3 @@
-"""The hemlockhall process: an entry host or a side process."""
+"""The hemlockhall daemon: an entry host, a side process or a router."""
 
 from __future__ import annotations
--- a/packages/daemon/src/hemlockhalld/main.py
+++ b/packages/daemon/src/hemlockhalld/main.py
@@ -1,4 +1,4 @@
-"""Command line of the process of the system."""
+"""Command line that starts an entry host, a side process or a router."""
 
 from __future__ import annotations
 
@@ -18,23 +18,23 @@
     "path",
     type=click.Path(path_type=Path),
     required=True,
-    help="TOML file with the settings.",
+    help="Settings file (TOML).",
 )
 CHECK_OPTION = click.option(
-    "--check-settings", "check", is_flag=True, help="Check the file and end."
+    "--check-settings", "check", is_flag=True, help="Check the settings file and exit."
 )
 
 
 @click.group()
 def main() -> None:
-    """Run a process of hemlockhall."""
+    """Run a hemlockhall process."""
 
 
 @main.command()
 @SETTINGS_OPTION
 @CHECK_OPTION
 def entry(path: Path, check: bool) -> None:
-    """Run an entry host, which callers talk to."""
+    """Run an entry host, which serves callers."""
     _run_process(path, "entry", check)
 
 
@@ -42,7 +42,7 @@
 @SETTINGS_OPTION
 @CHECK_OPTION
 def side(path: Path, check: bool) -> None:
-    """Run a side process beside an endpoint."""
+    """Run a side process next to an endpoint."""
     _run_process(path, "side", check)
 
 
@@ -69,7 +69,7 @@
 
 
 def _run_process(path: Path, role: str, check: bool) -> None:
-    # Each role imports only what it needs, to start quickly and stay small.
+    # Each role imports only its own modules, for a fast start and a small process.
     from hemlockhall_core.connection.error import LinkError
     from hemlockhall_core.process.error import SettingsError
     from hemlockhall_core.process.log import configure
--- a/packages/daemon/src/hemlockhalld/process/__init__.py
+++ b/packages/daemon/src/hemlockhalld/process/__init__.py
@@ -1,3 +1,3 @@
-"""What lives as long as a process."""
+"""Components that live as long as the process."""
 
 from __future__ import annotations
--- a/packages/daemon/src/hemlockhalld/process/admin.py
+++ b/packages/daemon/src/hemlockhalld/process/admin.py
@@ -1,4 +1,4 @@
-"""The administrative HTTP interface that each process has."""
+"""Administrative HTTP interface of each process."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class PeerStatus(msgspec.Struct):
-    """A peer as this process sees it."""
+    """State of a peer, as known to this process; ``load`` in requests."""
 
     name: str
     version: int
@@ -27,7 +27,7 @@
 
 
 class Status(msgspec.Struct):
-    """What ``/status`` shows."""
+    """Body of the response to ``/status``."""
 
     name: str
     role: str
@@ -40,19 +40,19 @@
 
 
 class ManagedProcess(Protocol):
-    """What the administrative interface needs of its process."""
+    """Operations of a process that its administrative interface calls."""
 
     def not_ready_reason(self) -> str:
-        """Return why no requests are taken, or an empty text."""
+        """Return why the process takes no requests; empty if it is ready."""
 
     def status(self) -> Status:
-        """Return what ``/status`` shows."""
+        """Return the state that ``/status`` reports."""
 
     def drain(self, name: str) -> bool:
-        """Drain this process or an endpoint; return whether it is known."""
+        """Drain this process or an endpoint; return False for an unknown name."""
 
     def offer_document(self, document: DocumentText) -> None:
-        """Adopt an accepted version, if it is higher."""
+        """Adopt an accepted document if its version is higher."""
 
 
 class Admin:
@@ -61,9 +61,9 @@
     Parameters
     ----------
     metrics : Metrics
-        Counters to export.
-    process : Administered
-        The process that this is the interface of.
+        Exported by ``/metrics``.
+    process : ManagedProcess
+        The process to report on and to drain.
     """
 
     def __init__(self, metrics: Metrics, process: ManagedProcess) -> None:
@@ -71,7 +71,7 @@
         self._process = process
 
     async def __call__(self, scope: Scope, receive: Any, send: Any) -> None:
-        """Answer one request."""
+        """Serve one request."""
         if scope["type"] == "lifespan":
             await handle_lifespan(receive, send)
             return
@@ -116,7 +116,7 @@
 
 
 async def handle_lifespan(receive: Any, send: Any) -> None:
-    """Answer the server's start and stop events."""
+    """Acknowledge the startup and shutdown events of the ASGI server."""
     while True:
         event = await receive()
         await send({"type": f"{event['type']}.complete"})
@@ -131,7 +131,7 @@
     content_type: str = "text/plain",
     headers: tuple[tuple[bytes, bytes], ...] = (),
 ) -> None:
-    """Send a whole answer."""
+    """Send a complete response."""
     await send(
         {
             "type": "http.response.start",
@@ -145,18 +145,18 @@
 async def serve_http(
     app: Any, address: str, graceful_timeout_s: float, stop: Any
 ) -> None:
-    """Serve an ASGI application until ``stop`` returns.
+    """Serve an ASGI application over HTTP until ``stop`` returns.
 
     Parameters
     ----------
     app : callable
-        The application.
+        The ASGI application.
     address : str
         ``IP:port`` to listen on.
-    graceful : float
-        Seconds that requests in progress get after the stop.
+    graceful_timeout_s : float
+        Seconds that requests in progress may take after the stop.
     stop : callable
-        Awaited; serving ends when it returns.
+        Coroutine function; serving ends when it returns.
     """
     cfg = Config()
     cfg.bind = [address]
--- a/packages/daemon/src/hemlockhalld/process/base.py
+++ b/packages/daemon/src/hemlockhalld/process/base.py
@@ -1,4 +1,4 @@
-"""What entry hosts and side processes have in common."""
+"""Base class of entry hosts and side processes."""
 
 from __future__ import annotations
 
@@ -30,15 +30,15 @@
 
 
 class Process(Handler):
-    """A process with a link, a document, an administrative interface.
+    """A process with a link to its peers, a document and an admin interface.
 
     Parameters
     ----------
     settings : Settings
-        Checked settings.
+        Validated settings.
     role : str
         ``entry`` or ``side``.
-    wanted : tuple of str
+    section_names : tuple of str
         Sections of the document that this role needs.
     """
 
@@ -74,17 +74,17 @@
 
     @abstractmethod
     async def start_tasks(self) -> None:
-        """Start what the role does; the tasks run in ``group``."""
+        """Start the tasks of the role in ``task_group``."""
 
     @abstractmethod
     def admin_address(self) -> str:
-        """Return where the administrative interface listens."""
+        """Return the listen address of the administrative interface, ``IP:port``."""
 
     def on_document_adopted(self) -> None:
-        """Act on a new version of the document."""
+        """Handle a newly adopted version of the document."""
 
     def not_ready_reason(self) -> str:
-        """Return why no requests are taken, or an empty text."""
+        """Return why the process takes no requests; empty if it is ready."""
         if self.leaving:
             return "leaving"
         return "" if self.document_cache.version else "no version of the document yet"
@@ -95,18 +95,18 @@
             await anyio.sleep(FINISH_POLL_INTERVAL_S)
 
     def offer_document(self, document: DocumentText) -> None:
-        """Adopt an accepted version that an operator's command brings."""
+        """Adopt a document that was posted to the admin interface, if it is newer."""
         self.document_cache.apply_response(document)
 
     def drain(self, name: str) -> bool:
-        """Act on an order to drain ``name``."""
+        """Drain this process if ``name`` is its own; return whether it is known."""
         if name != self.link.name:
             return False
         self.leave()
         return True
 
     def leave(self) -> None:
-        """Take no new work, and end when the present work has."""
+        """Take no new requests, and stop when those in progress have ended."""
         self.leaving = True
         self._leave_event.set()
         self.link.announce()
@@ -116,7 +116,7 @@
         return self.document_cache.version
 
     def state(self) -> str:
-        """Return what the peers are told."""
+        """Return the state that is announced to the peers."""
         return LEAVING if self.leaving else ACTIVE
 
     def load(self) -> int:
@@ -124,11 +124,11 @@
         return self.in_flight()
 
     def on_version(self, peer: Peer, version: int) -> None:
-        """Fetch a higher version from the peer that has it."""
+        """Request the document from a peer that has a higher version."""
         self.document_cache.request_if_newer(peer, version)
 
     def handle_document_message(self, peer: Peer, message: AnyMessage) -> bool:
-        """Act on messages about the document; return whether it was one."""
+        """Handle a message about the document; return False for any other."""
         if isinstance(message, DocumentRequest):
             if self.document_cache.version:
                 peer.post(self.document_cache.make_response(message))
@@ -139,7 +139,7 @@
         return False
 
     def status(self) -> Status:
-        """Return what ``/status`` shows."""
+        """Return the state that ``/status`` reports."""
         peers = []
         for peer in self.link.peers.values():
             peers.append(
@@ -170,7 +170,7 @@
             group.cancel_scope.cancel()
 
     async def _serve(self, servers: anyio.abc.TaskGroup) -> None:
-        """Serve until drained; servers end by their own event, in order."""
+        """Run the servers until drained; they shut down when ``stopped`` is set."""
         self.server_group = servers
         app = Admin(self.metrics, self)
         address = self.admin_address()
--- a/packages/daemon/src/hemlockhalld/process/calls.py
+++ b/packages/daemon/src/hemlockhalld/process/calls.py
@@ -1,4 +1,4 @@
-"""Calls of the plain service beside a side process."""
+"""Calls to the plain service next to a side process."""
 
 from __future__ import annotations
 
@@ -41,7 +41,11 @@
 
 @dataclass
 class ActiveCall:
-    """A call in progress: who asked, until when, and how far it is."""
+    """A call in progress.
+
+    ``peer`` is the entry host that sent it, ``deadline`` a monotonic time, and
+    ``started`` whether the service may have received the call.
+    """
 
     call: Call
     peer: Peer
@@ -51,12 +55,12 @@
 
 
 class Calls:
-    """Makes calls, those that must not be repeated under a claim.
+    """Calls the service; a non-idempotent call needs a claim of its key.
 
     Parameters
     ----------
     url : str
-        Where the service listens.
+        Base URL of the service.
     claims : Claims
         Claims of idempotency keys.
     """
@@ -67,16 +71,16 @@
         self._claims = claims
 
     async def run(self, peer: Peer, call: Call) -> None:
-        """Make one call and post what came of it to the entry host."""
+        """Make one call and post its result to the entry host."""
         deadline = time.monotonic() + call.expires_in_s
         name = f"{call.request}/{call.attempt}"
         active_call = self.active[name] = ActiveCall(call, peer, deadline)
         try:
             peer.post(await self._execute(active_call))
         except Exception:  # noqa: BLE001
-            # One call that cannot be handled must not end the process, and
-            # with it the calls of others; whether it ran is not known here.
-            logger.exception("a call of {} failed", call.service)
+            # An unexpected error in one call must not end the process and the
+            # other calls with it. A started call may have run.
+            logger.exception("call of service {} raised an error", call.service)
             detail = "the side process could not handle the call; see its log"
             ran = Ran.UNKNOWN if active_call.started else Ran.NO
             peer.post(
@@ -88,7 +92,7 @@
             del self.active[name]
 
     def cancel(self, message: CancelCall) -> None:
-        """Keep a call from being started."""
+        """Cancel a call that has not started yet."""
         active_call = self.active.get(f"{message.request}/{message.attempt}")
         if active_call is not None:
             active_call.cancelled = True
@@ -117,7 +121,7 @@
         return result
 
     async def _result_of_claim(self, key: str, call: Call, claim: Claim) -> AnyMessage:
-        """Answer from another holder's claim, waiting a little for its end."""
+        """Return the result of another holder's claim, waiting briefly for it."""
         if claim.digest != call_digest(call):
             detail = "the Idempotency-Key was used for another call; take a new one"
             return make_refused(call, RefusalReason.KEY_REUSED, Ran.NO, detail, 0.0)
@@ -128,7 +132,7 @@
             try:
                 claim = await self._claims.read(key) or claim
             except PlatformError as exc:
-                logger.warning("a claim could not be read: {}", exc)
+                logger.warning("claim not read: {}", exc)
         if not claim.done:
             detail = "a call under this key has begun and its outcome is not known"
             return make_refused(
@@ -142,8 +146,8 @@
     async def _call_service(self, active_call: ActiveCall) -> AnyMessage:
         call = active_call.call
         remaining_s = active_call.deadline - time.monotonic()
-        # A process that was paused after it took the call finds the deadline
-        # past; its caller was told long ago that the call is given up.
+        # If the process was paused after it received the call, the caller has
+        # already been told that the deadline passed: the call must not start.
         if active_call.cancelled or remaining_s <= 0:
             detail = "the deadline passed, or the caller left, before the call began"
             return make_refused(
@@ -182,7 +186,7 @@
 def make_refused(
     call: Call, reason: RefusalReason, ran: Ran, detail: str, retry_after: float
 ) -> CallRefused:
-    """Return the message that refuses a call."""
+    """Return the message that refuses a call; ``retry_after`` in seconds."""
     return CallRefused(
         call.request, call.attempt, reason.value, ran.value, detail, retry_after
     )
--- a/packages/daemon/src/hemlockhalld/process/chooser.py
+++ b/packages/daemon/src/hemlockhalld/process/chooser.py
@@ -1,4 +1,4 @@
-"""Choice of a pipeline, and of an endpoint of a plain service."""
+"""Choice of a pipeline for a model and of an endpoint for a plain service."""
 
 from __future__ import annotations
 
@@ -18,10 +18,11 @@
 
 @dataclass(frozen=True)
 class Candidate:
-    """An endpoint that takes work.
+    """An endpoint that takes requests.
 
-    ``in_flight`` counts this entry host's own requests there, ``load`` all
-    that the side process told of, some time ago.
+    ``in_flight`` counts the requests of this entry host at the endpoint.
+    ``load`` is the number of all requests there that its side process last
+    reported, so it lags.
     """
 
     endpoint: Endpoint
@@ -30,17 +31,17 @@
 
     @property
     def estimated_load(self) -> int:
-        """Requests there, as far as is known."""
+        """Estimated number of requests at the endpoint."""
         return max(self.in_flight, self.load)
 
 
 class Chooser(ABC):
-    """Chooses chains whose layer ranges cover a model once, in order.
+    """Chooses pipelines whose layer ranges cover a model once, in order.
 
     Parameters
     ----------
     data_centre : str
-        Where the choosing entry host is.
+        Data centre of this entry host.
     """
 
     def __init__(self, data_centre: str) -> None:
@@ -50,34 +51,34 @@
     def choose_pipeline(
         self, layers: int, candidates: list[Candidate]
     ) -> list[Endpoint]:
-        """Return a chain over layers 0 up to ``layers``; empty if none."""
+        """Return a pipeline for layers 0 to ``layers`` (exclusive); empty if none."""
 
     @abstractmethod
     def choose_endpoint(self, candidates: list[Candidate]) -> Endpoint | None:
-        """Return an endpoint of a plain service."""
+        """Return an endpoint of a plain service, or None if there is none."""
 
 
 CHOOSERS: dict[str, type[Chooser]] = {}
 
 
 def register_chooser(name: str) -> Callable[[type[Chooser]], type[Chooser]]:
-    """Register a chooser under the name that settings use."""
+    """Register a chooser under its name in the settings."""
 
-    def register(kind: type[Chooser]) -> type[Chooser]:
-        CHOOSERS[name] = kind
-        return kind
+    def register(chooser_type: type[Chooser]) -> type[Chooser]:
+        CHOOSERS[name] = chooser_type
+        return chooser_type
 
     return register
 
 
 @register_chooser("weighted")
 class WeightedChooser(Chooser):
-    """The chain of least cost: work before it by speed, and links between."""
+    """Chooses by least cost: queued work by speed, and data centre changes."""
 
     def choose_pipeline(
         self, layers: int, candidates: list[Candidate]
     ) -> list[Endpoint]:
-        """Return the chain of least cost, by a pass over rising layers."""
+        """Return the cheapest pipeline, as a shortest path over rising layers."""
         best: dict[str, tuple[float, Candidate | None]] = {}
         ordered = sorted(candidates, key=lambda c: c.endpoint.first_layer)
         for index, candidate in enumerate(ordered):
@@ -106,22 +107,22 @@
         earlier: list[Candidate],
         best: dict[str, tuple[float, Candidate | None]],
     ) -> tuple[float, Candidate | None] | None:
-        here = candidate.endpoint
-        if here.first_layer == 0:
-            return self._transfer_cost(self.data_centre, here.data_centre), None
-        found: tuple[float, Candidate | None] | None = None
-        for other in earlier:
-            there = other.endpoint
-            if there.end_layer != here.first_layer or there.name not in best:
+        endpoint = candidate.endpoint
+        if endpoint.first_layer == 0:
+            return self._transfer_cost(self.data_centre, endpoint.data_centre), None
+        cheapest: tuple[float, Candidate | None] | None = None
+        for other_candidate in earlier:
+            previous = other_candidate.endpoint
+            if previous.end_layer != endpoint.first_layer or previous.name not in best:
                 continue
-            cost = best[there.name][0]
-            cost += self._transfer_cost(there.data_centre, here.data_centre)
-            if found is None or cost < found[0]:
-                found = (cost, other)
-        return found
+            cost = best[previous.name][0]
+            cost += self._transfer_cost(previous.data_centre, endpoint.data_centre)
+            if cheapest is None or cost < cheapest[0]:
+                cheapest = (cost, other_candidate)
+        return cheapest
 
     def choose_endpoint(self, candidates: list[Candidate]) -> Endpoint | None:
-        """Return the endpoint with the least work before it."""
+        """Return the endpoint of least cost."""
         if not candidates:
             return None
         return min(candidates, key=self._endpoint_cost).endpoint
@@ -131,13 +132,13 @@
         return link + _queue_cost(candidate)
 
     @staticmethod
-    def _transfer_cost(here: str, there: str) -> float:
-        return 0.0 if here == there else CROSS_DATA_CENTRE_COST
+    def _transfer_cost(from_data_centre: str, to_data_centre: str) -> float:
+        return 0.0 if from_data_centre == to_data_centre else CROSS_DATA_CENTRE_COST
 
 
 @register_chooser("round_robin")
 class RoundRobinChooser(Chooser):
-    """The baseline: chains in turn, whatever their load."""
+    """Baseline: takes the endpoints in turn, whatever their load."""
 
     def __init__(self, data_centre: str) -> None:
         super().__init__(data_centre)
@@ -146,7 +147,7 @@
     def choose_pipeline(
         self, layers: int, candidates: list[Candidate]
     ) -> list[Endpoint]:
-        """Return the first chain found, beginning at another each time."""
+        """Return the first pipeline found, with another choice at each call."""
         self._call_count += 1
         pipeline: list[Endpoint] = []
         covered_layers = 0
--- a/packages/daemon/src/hemlockhalld/process/document_poller.py
+++ b/packages/daemon/src/hemlockhalld/process/document_poller.py
@@ -1,4 +1,4 @@
-"""Fetches accepted versions of the document from the platform's stores."""
+"""Poller of the accepted document in the platform's stores."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
 
 class DocumentPoller:
-    """Asks for the head at jittered intervals.
+    """Reads the head of the document at jittered intervals.
 
     Parameters
     ----------
     repository : Repository
-        Where accepted versions are.
+        Holds the accepted versions.
     document_cache : DocumentCache
-        What adopts them.
-    interval : float
-        Seconds between two reads.
+        Adopts them.
+    interval_s : float
+        Mean time between two reads in seconds.
     """
 
     def __init__(
@@ -37,16 +37,16 @@
         self._interval_s = interval_s
 
     async def run(self) -> None:
-        """Poll for ever; during an outage the last version stays in force."""
+        """Poll until cancelled; the last version stays in force in an outage."""
         while True:
             try:
                 await self.poll()
             except (PlatformError, SubmitError) as exc:
-                logger.debug("document: {}", exc)
+                logger.debug("document not read: {}", exc)
             await anyio.sleep(self._interval_s * random.uniform(0.8, 1.2))
 
     async def poll(self) -> None:
-        """Read the head, and adopt it if it is higher."""
+        """Read the head and adopt it if its version is higher."""
         head = await self._repository.head()
         if head.version <= self._document_cache.version:
             return
--- a/packages/daemon/src/hemlockhalld/process/engine.py
+++ b/packages/daemon/src/hemlockhalld/process/engine.py
@@ -1,4 +1,4 @@
-"""Client of a model engine, over its HTTP interface."""
+"""HTTP client of a model engine."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 
 class EngineError(Exception):
-    """The engine did not answer; its KV cache must be taken for lost."""
+    """The engine gave no valid response; its KV cache must be assumed lost."""
 
 
 class StepItem(msgspec.Struct, omit_defaults=True):
-    """Work for one request in a step: positions from ``position`` on.
+    """Input of one request in a step: the positions from ``position`` on.
 
-    The first stage gives ``text`` (the whole prompt) or ``tokens``, later
-    ones give ``activations``. With ``sample`` the engine samples a token
+    The first stage passes ``text`` (the whole prompt) or ``tokens``, later
+    stages pass ``activations``. With ``sample`` the engine samples a token
     after the last position.
     """
 
@@ -33,13 +33,13 @@
 
 
 class StepBatch(msgspec.Struct):
-    """One batch of work."""
+    """Body of a step: the batch of requests that it runs."""
 
     items: list[StepItem]
 
 
 class SampledToken(msgspec.Struct):
-    """A sampled token; ``finish`` is not empty on the last one."""
+    """A sampled token; ``finish`` is the finish reason of the last, else empty."""
 
     id: int
     text: str
@@ -47,7 +47,7 @@
 
 
 class StepResult(msgspec.Struct):
-    """What a step did for one request, or the error that kept it from it."""
+    """Result of a step for one request; ``error`` is empty on success."""
 
     request: str
     attempt: int
@@ -59,46 +59,46 @@
 
 
 class StepResults(msgspec.Struct):
-    """Results of one batch."""
+    """Body of the response to a step."""
 
     results: list[StepResult]
 
 
 class CancelRequest(msgspec.Struct):
-    """Requests whose KV cache is not needed any more, or all there are."""
+    """Requests whose KV cache can be freed; ``everything`` frees all."""
 
     requests: list[str]
     everything: bool = False
 
 
 class EngineClient:
-    """The model engine that a side process runs beside.
+    """Client of the model engine next to this side process.
 
     Parameters
     ----------
     url : str
-        Where the engine listens.
-    timeout : float
-        Seconds after which a step is given up.
+        Base URL of the engine.
+    timeout_s : float
+        Timeout of each request in seconds.
     """
 
     def __init__(self, url: str, timeout_s: float) -> None:
         self._client = httpx.AsyncClient(base_url=url, timeout=timeout_s)
 
     async def run_steps(self, items: list[StepItem]) -> list[StepResult]:
-        """Run a batch; raise :class:`EngineError` without an answer."""
+        """Run one batch; raise :class:`EngineError` without a valid response."""
         data = await self._post("/v1/steps", msgspec.json.encode(StepBatch(items)))
         try:
             return msgspec.json.decode(data, type=StepResults).results
         except msgspec.MsgspecError as exc:
-            raise EngineError(f"not an answer of an engine: {exc}") from exc
+            raise EngineError(f"invalid response from the engine: {exc}") from exc
 
     async def cancel(self, requests: list[str]) -> None:
-        """Free the slots of requests."""
+        """Free the slots and the KV cache of requests."""
         await self._post("/v1/cancel", msgspec.json.encode(CancelRequest(requests)))
 
     async def reset(self) -> None:
-        """Free all slots; raise :class:`EngineError` without an answer."""
+        """Free all slots; raise :class:`EngineError` without a valid response."""
         cancel = CancelRequest([], everything=True)
         await self._post("/v1/cancel", msgspec.json.encode(cancel))
 
@@ -110,9 +110,9 @@
         try:
             response = await self._client.post(path, content=content)
         except httpx.HTTPError as exc:
-            raise EngineError(f"no answer from the engine: {exc!r}") from exc
+            raise EngineError(f"no response from the engine: {exc!r}") from exc
         if response.status_code != httpx.codes.OK:
-            raise EngineError(f"the engine answered {response.status_code}")
+            raise EngineError(f"status {response.status_code} from the engine")
         return response.content
 
 
--- a/packages/daemon/src/hemlockhalld/process/entry.py
+++ b/packages/daemon/src/hemlockhalld/process/entry.py
@@ -1,4 +1,4 @@
-"""The entry host: admits callers, chooses pipelines, delivers answers."""
+"""Entry host: admits requests, chooses pipelines, delivers responses."""
 
 from __future__ import annotations
 
@@ -50,8 +50,8 @@
         self.limiter = Limiter(self._live_host_count)
         self._requests: dict[str, Generation | ServiceCall] = {}
         self._draining: set[str] = set()
-        kind = CHOOSERS[self._cfg.chooser]
-        self._chooser = kind(settings.process.data_centre)
+        chooser_type = CHOOSERS[self._cfg.chooser]
+        self._chooser = chooser_type(settings.process.data_centre)
         platform = settings.platform
         table = Table(platform.table, self.metrics)
         objects = Objects(platform.objects, self.metrics)
@@ -65,7 +65,7 @@
         self._seeds = frozenset(seed.name for seed in settings.seeds)
 
     def admin_address(self) -> str:
-        """Return where the administrative interface listens."""
+        """Return the listen address of the administrative interface, ``IP:port``."""
         return self._cfg.admin
 
     def in_flight(self) -> int:
@@ -87,14 +87,14 @@
         )
 
     async def wait_finished(self) -> None:
-        """Serve on until the balancer has noticed, then end the requests."""
-        # The balancer sends requests until it sees ``/readyz`` fail; a host
-        # that closed its socket at once would cut those off.
+        """Keep serving until the load balancer has noticed, then drain."""
+        # The load balancer sends requests until it sees ``/readyz`` fail; closing
+        # the listening socket at once would break those.
         await anyio.sleep(self._cfg.leave_notice_s)
         await super().wait_finished()
 
     def drain(self, name: str) -> bool:
-        """Drain this process, or an endpoint of the document."""
+        """Drain this process or an endpoint; return False for an unknown name."""
         if super().drain(name):
             return True
         endpoint = self.document_cache.document.endpoints.get(name)
@@ -105,11 +105,11 @@
         return True
 
     def new_id(self) -> str:
-        """Return an id that no other request has."""
+        """Return a unique request id."""
         return secrets.token_hex(8)
 
     def start_generation(self, params: GenerationParams) -> Generation:
-        """Return the run of a model request; pair with ``end``."""
+        """Return a new generation; pair with ``end_request``."""
         generation = Generation(
             params,
             self.link,
@@ -122,7 +122,7 @@
         return generation
 
     def start_call(self, call: Call, deadline: float) -> ServiceCall:
-        """Return the run of a plain service's call; pair with ``end``."""
+        """Return a new call of a plain service; pair with ``end_request``."""
         service_call = ServiceCall(
             call, deadline, self.link, self.metrics, self.version, self._choose_endpoint
         )
@@ -130,7 +130,7 @@
         return service_call
 
     def end_request(self, request: Generation | ServiceCall) -> None:
-        """Forget a request, and what it holds elsewhere."""
+        """Forget a request and free its slots at the endpoints."""
         if isinstance(request, Generation):
             self._requests.pop(request.params.request_id, None)
         else:
@@ -138,7 +138,7 @@
         request.close()
 
     def on_document_adopted(self) -> None:
-        """Connect to the endpoints of a new version."""
+        """Connect to the endpoints of the adopted document."""
         for endpoint in self.document_cache.document.endpoints.values():
             self._connect(endpoint)
         self.link.announce()
@@ -150,7 +150,7 @@
         self.link.peer(endpoint.name, endpoint.address)
 
     def on_message(self, peer: Peer, message: AnyMessage) -> None:
-        """Act on one message."""
+        """Pass a message to its request, or to the document cache."""
         if self.handle_document_message(peer, message):
             return
         if not isinstance(message, (OutputToken, Failed, CallResponse, CallRefused)):
@@ -162,7 +162,7 @@
             request.post(message)  # type: ignore[arg-type]
 
     def on_lost(self, peer: Peer, *, restarted: bool) -> None:
-        """Tell the requests that run at a peer that it is lost."""
+        """Notify the requests that run at a lost peer."""
         self._draining.discard(peer.name)
         for request in list(self._requests.values()):
             if request.uses(peer.name):
@@ -180,7 +180,7 @@
         self, endpoints: list[Endpoint], excluded: set[str]
     ) -> list[Candidate]:
         leaving = self._host_list.leaving if self._host_list else frozenset()
-        found: list[Candidate] = []
+        candidates: list[Candidate] = []
         for endpoint in endpoints:
             name = endpoint.name
             if name in excluded or name in leaving or name in self._draining:
@@ -189,8 +189,8 @@
             if peer is None or not peer.ready or peer.state != ACTIVE:
                 continue
             in_flight = sum(1 for r in self._requests.values() if r.uses(name))
-            found.append(Candidate(endpoint, in_flight, peer.load))
-        return found
+            candidates.append(Candidate(endpoint, in_flight, peer.load))
+        return candidates
 
     def _choose_pipeline(self, model: Model, excluded: set[str]) -> list[Endpoint]:
         endpoints = self.document_cache.document.endpoints.values()
@@ -205,22 +205,22 @@
         return self._chooser.choose_endpoint(self._candidates(matching, excluded))
 
     async def _remove_old_peers(self) -> None:
-        """Close connections to endpoints that the document no longer has."""
-        gone_since: dict[str, float] = {}
+        """Close connections to endpoints that the document no longer contains."""
+        removed_since: dict[str, float] = {}
         while True:
             await anyio.sleep(REMOVE_INTERVAL_S)
             if not self.document_cache.version:
-                # Before the first document any peer may be the one that has it.
+                # Until the first document is adopted, any peer may provide it.
                 continue
-            known = self.document_cache.document.endpoints
+            endpoints = self.document_cache.document.endpoints
             for name in list(self.link.peers):
-                if name in known or name in self._seeds:
-                    gone_since.pop(name, None)
+                if name in endpoints or name in self._seeds:
+                    removed_since.pop(name, None)
                     continue
                 in_use = any(r.uses(name) for r in self._requests.values())
-                since = gone_since.setdefault(name, time.monotonic())
+                since = removed_since.setdefault(name, time.monotonic())
                 if not in_use and time.monotonic() - since > REMOVE_INTERVAL_S:
-                    gone_since.pop(name)
+                    removed_since.pop(name)
                     self.link.remove_peer(name)
 
 
--- a/packages/daemon/src/hemlockhalld/process/host_list.py
+++ b/packages/daemon/src/hemlockhalld/process/host_list.py
@@ -1,4 +1,4 @@
-"""What the platform's lagging host list says about endpoints."""
+"""Poller of the platform's host list, which lags."""
 
 from __future__ import annotations
 
@@ -17,22 +17,25 @@
 
 
 class HostListPoller:
-    """Reads the list again and again; keeps the last one during an outage."""
+    """Polls the host list; keeps the last one during an outage.
+
+    ``leaving`` holds the names of the endpoints that are about to leave.
+    """
 
     def __init__(self, hosts: HostList) -> None:
         self.leaving: frozenset[str] = frozenset()
         self._hosts = hosts
 
     async def run(self) -> None:
-        """Read for ever."""
+        """Poll until cancelled."""
         while True:
             try:
-                listed = await self._hosts.read()
+                hosts = await self._hosts.read()
                 self.leaving = frozenset(
-                    host.endpoint for host in listed if host.state == "leaving"
+                    host.endpoint for host in hosts if host.state == "leaving"
                 )
             except PlatformError as exc:
-                logger.debug("host list: {}", exc)
+                logger.debug("host list not read: {}", exc)
             await anyio.sleep(POLL_INTERVAL_S * random.uniform(0.8, 1.2))
 
 
--- a/packages/daemon/src/hemlockhalld/process/limiter.py
+++ b/packages/daemon/src/hemlockhalld/process/limiter.py
@@ -1,4 +1,4 @@
-"""Limits of each customer, over all entry hosts without a coordinator."""
+"""Rate and concurrency limits of customers, without a coordinator."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass
 class CustomerUsage:
-    """What one customer uses here: tokens of its rate, open requests."""
+    """Token bucket and open requests of one customer at this host."""
 
     tokens: float
     updated_at: float = field(default_factory=time.monotonic)
@@ -27,11 +27,11 @@
 
 
 class Limiter:
-    """Gives each entry host an equal share of each customer's limits.
+    """Enforces this host's equal share of each customer's limits.
 
     Parameters
     ----------
-    hosts : callable
+    host_count : callable
         Returns the number of live entry hosts, this one included.
     """
 
@@ -40,7 +40,7 @@
         self._usages: dict[str, CustomerUsage] = {}
 
     def admit(self, customer: Customer) -> None:
-        """Admit a request or raise :class:`Problem`; pair with ``leave``."""
+        """Admit a request or raise :class:`Problem`; pair with ``release``."""
         host_count = max(1, self._host_count())
         rate = customer.rate_per_s / host_count
         burst = max(1.0, rate)
@@ -65,7 +65,7 @@
         usage.open_requests += 1
 
     def release(self, customer: Customer) -> None:
-        """Note the end of an admitted request."""
+        """Count the end of an admitted request."""
         self._usages[customer.name].open_requests -= 1
 
 
--- a/packages/daemon/src/hemlockhalld/process/side.py
+++ b/packages/daemon/src/hemlockhalld/process/side.py
@@ -1,4 +1,4 @@
-"""The side process: the last point before a model engine or a service."""
+"""Side process: runs next to a model engine or a plain service."""
 
 from __future__ import annotations
 
@@ -51,22 +51,25 @@
         self._calls = Calls(self._cfg.back_end, self._claims)
 
     def admin_address(self) -> str:
-        """Return where the administrative interface listens."""
+        """Return the listen address of the administrative interface, ``IP:port``."""
         return self._cfg.admin
 
     def in_flight(self) -> int:
-        """Return requests in progress, and outcomes still to be recorded."""
+        """Return the number of requests in progress and of unwritten outcomes."""
         calls = len(self._calls.active) + self._claims.pending_outcomes()
         return len(self._stages.requests) + calls
 
     def state(self) -> str:
-        """Return what the peers are told."""
+        """Return the state that is announced to the peers."""
         if self._stages.failing and not self.leaving:
             return FAILING
         return super().state()
 
     def not_ready_reason(self) -> str:
-        """Return why no requests are taken; versions come with the first."""
+        """Return why the process takes no requests; empty if it is ready.
+
+        It is ready without a document, which comes with the first request.
+        """
         return "leaving" if self.leaving else ""
 
     async def start_tasks(self) -> None:
@@ -78,16 +81,16 @@
             self.task_group.start_soon(self._claims.run)
 
     async def wait_finished(self) -> None:
-        """Wait for the requests in progress and their last messages."""
+        """Wait until the requests have ended and their last messages are sent."""
         await super().wait_finished()
         await anyio.sleep(FLUSH_WAIT_S)
 
     def on_lost(self, peer: Peer, *, restarted: bool) -> None:
-        """Give up what ran with a peer that is dead or began anew."""
+        """Fail or drop the requests that run with a lost or restarted peer."""
         self._stages.on_peer_lost(peer.name)
 
     def on_message(self, peer: Peer, message: AnyMessage) -> None:
-        """Act on one message."""
+        """Dispatch one message by its type."""
         if self.handle_document_message(peer, message):
             return
         if isinstance(message, Activations):
@@ -119,8 +122,8 @@
         elif self.leaving and not known:
             self._stages.refuse(message, RetryReason.ENDPOINT_LEAVING)
         elif message.version < self.version():
-            # An entry host that has not heard of the version in force here
-            # would run the request under rules that were replaced.
+            # The entry host does not have the version in force here yet and
+            # would run the request under replaced rules.
             self._stages.refuse(message, RetryReason.STALE_VERSION)
         else:
             self._stages.on_open(message)
--- a/packages/daemon/src/hemlockhalld/process/stage_sender.py
+++ b/packages/daemon/src/hemlockhalld/process/stage_sender.py
@@ -1,4 +1,4 @@
-"""What the stages at an endpoint send: to other stages and to entry hosts."""
+"""Messages from the stages at an endpoint to other stages and entry hosts."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 
 
 class StageSender:
-    """Sends for the stages at one endpoint.
+    """Sends the messages of the stages at one endpoint.
 
-    A message to a stage that is dead or has too many waiting is not kept:
-    the entry host is told that the attempt failed there.
+    A message to a stage whose process is dead or whose queue is full is
+    dropped, and the entry host is told that the attempt failed there.
 
     Parameters
     ----------
@@ -41,7 +41,7 @@
         self._link = link
 
     def open_next(self, stage: Stage) -> None:
-        """Open the attempt at the next stage; it does not need the prompt."""
+        """Open the attempt at the next stage, without the prompt."""
         message = stage.open
         next_open = msgspec.structs.replace(
             message, stage_index=message.stage_index + 1, prompt=""
@@ -49,14 +49,14 @@
         self._send_to_stage(stage, stage.next_stage, next_open)
 
     def request_missing(self, stage: Stage) -> None:
-        """Ask the stage before for what is not here yet."""
+        """Request the activations not yet in the cache from the previous stage."""
         message = ActivationsRequest(
             stage.open.request, stage.open.attempt, stage.cached_positions
         )
         self._send_to_stage(stage, stage.previous_stage, message)
 
     def send_outputs(self, stage: Stage) -> None:
-        """Send the next stage the outputs that it lacks."""
+        """Send the next stage the outputs that were not sent yet."""
         start = stage.sent_positions
         outputs = stage.take_unsent()
         if not outputs:
@@ -72,9 +72,9 @@
         self._send_to_stage(stage, stage.next_stage, activations)
 
     def send_tokens(self, stage: Stage, start: int) -> None:
-        """Send tokens from number ``start`` on to the entry host.
+        """Send the tokens from index ``start`` on to the entry host.
 
-        All but the final one go to the first stage as well, to go on with.
+        All but the final token also go to the first stage, as its next input.
         """
         message = stage.open
         for index in range(start, len(stage.tokens)):
@@ -86,7 +86,7 @@
             self._send_to_stage(stage, stage.next_stage, next_token)
 
     def report_failure(self, stage: Stage, reason: RetryReason, endpoint: str) -> None:
-        """Tell the entry host that the attempt cannot go on at ``endpoint``."""
+        """Tell the entry host that the attempt cannot continue at ``endpoint``."""
         self.report_attempt_failure(stage.open, reason, endpoint)
 
     def report_attempt_failure(
@@ -103,9 +103,9 @@
             self.report_failure(stage, RetryReason.PEER_LOST, target.endpoint)
 
     def _send_to_entry(self, message: Open, report: AnyMessage) -> None:
-        # An entry host that seems dead may be back before the next look. What
-        # is kept for it is dropped when it proves to have restarted; what is
-        # not sent would be missed, as only this process has it.
+        # An entry host that seems dead may come back, and only this process has
+        # the message, so it is queued. The queue is cleared if the entry host
+        # turns out to have restarted.
         self._send(message.entry, message.entry_address, report, alive_only=False)
 
     def _send(
@@ -117,7 +117,7 @@
         try:
             peer.post(message)
         except QueueFullError as exc:
-            logger.bind(peer=name).warning("{}", exc)
+            logger.bind(peer=name).warning("message not queued: {}", exc)
             return False
         return True
 
--- a/packages/daemon/src/hemlockhalld/process/stages.py
+++ b/packages/daemon/src/hemlockhalld/process/stages.py
@@ -1,4 +1,4 @@
-"""All model requests at one endpoint, and the loop that steps its engine."""
+"""Model requests at one endpoint, and the loop that batches engine steps."""
 
 from __future__ import annotations
 
@@ -38,16 +38,19 @@
 class Stages:
     """The model requests at this endpoint.
 
+    ``failing`` is set while the engine does not respond, and ``on_change`` is
+    called when the state or the load of the endpoint changes.
+
     Parameters
     ----------
     link : Link
         Connections to the other processes.
     engine : Engine
-        The engine beside this process.
+        Client of the engine next to this process.
     metrics : Metrics
         Counters.
     retain_bytes : int
-        Limit of the outputs that are retained for repairs.
+        Limit on the outputs that are retained for retries, in bytes.
     """
 
     def __init__(
@@ -68,16 +71,16 @@
         self._wake = anyio.Event()
 
     def refuse(self, message: Open, reason: RetryReason) -> None:
-        """Tell the entry host that an attempt does not start here."""
-        here = message.route[message.stage_index].endpoint
-        self._sender.report_attempt_failure(message, reason, here)
+        """Tell the entry host that an attempt is refused here."""
+        endpoint = message.route[message.stage_index].endpoint
+        self._sender.report_attempt_failure(message, reason, endpoint)
 
     def on_open(self, message: Open) -> None:
-        """Begin an attempt here and pass it on to the next stage."""
+        """Start an attempt here and open it at the next stage."""
         request = message.request
-        # The entry host closes at each stage directly, while an attempt comes
-        # along the pipeline, so it may come after its own end. Without this
-        # the engine's slot would stay taken by a request nobody waits for.
+        # A close comes directly from the entry host and an opening from the
+        # previous stage, so an opening can arrive after its own close. It would
+        # occupy an engine slot for a request that has ended.
         if message.attempt <= self._closed_attempts.get(request, 0):
             self._metrics.count_ignored_message("open_after_close")
             return
@@ -106,7 +109,7 @@
         self._mark_ready(stage)
 
     def on_activations(self, message: Activations) -> None:
-        """Take activations from the stage before."""
+        """Queue activations from the previous stage as input."""
         stage = self._current_stage(message)
         if stage is None:
             return
@@ -116,20 +119,20 @@
             )
             return
         try:
-            fresh = stage.add_activations(message)
+            has_new = stage.add_activations(message)
         except GapError as exc:
-            logger.bind(request=message.request).warning("gap in hops: {}", exc)
+            logger.bind(request=message.request).warning("gap in activations: {}", exc)
             self._sender.report_failure(
                 stage, RetryReason.HOP_GAP, stage.this_stage.endpoint
             )
             return
-        if not fresh:
+        if not has_new:
             self._metrics.count_ignored_message("hop_repeated")
             return
         self._mark_ready(stage)
 
     def on_next_token(self, message: NextToken) -> None:
-        """Take the token that the last stage sampled."""
+        """Take the token from the last stage as next input of the first stage."""
         stage = self._current_stage(message)
         if stage is None:
             return
@@ -145,7 +148,7 @@
         self._mark_ready(stage)
 
     def on_activations_request(self, message: ActivationsRequest) -> None:
-        """Send the next stage what it lacks, computing it again if need be."""
+        """Send the requested activations, recomputing them if necessary."""
         stage = self._current_stage(message)
         if stage is None:
             return
@@ -155,9 +158,9 @@
             self._sender.send_outputs(stage)
             self._mark_ready(stage)
             return
-        # The outputs are not retained any more: run the layers here again
-        # from that position, on inputs that come from the stage before.
-        logger.bind(request=message.request).info("recomputing from a need")
+        # The outputs are no longer retained: run the layers here again from that
+        # position, on inputs requested from the previous stage.
+        logger.bind(request=message.request).info("recomputing released activations")
         bytes_before = _outputs_bytes(stage)
         stage.rewind(message.position)
         self._retained_bytes += _outputs_bytes(stage) - bytes_before
@@ -167,7 +170,7 @@
         self._mark_ready(stage)
 
     def on_probe(self, message: AttemptProbe) -> Failed | None:
-        """Return a failure if the attempt is not here."""
+        """Return a failure if the attempt is unknown here, else None."""
         stage = self.requests.get(message.request)
         if stage is not None and message.attempt <= _latest_attempt(stage):
             return None
@@ -175,7 +178,7 @@
         return Failed(message.request, message.attempt, self._name, reason)
 
     def on_close(self, message: Close) -> None:
-        """Forget a request and free its slot."""
+        """Drop a closed request and free its engine slot."""
         self._closed_attempts[message.request] = message.attempt
         self._closed_attempts.move_to_end(message.request)
         while len(self._closed_attempts) > MAX_CLOSED_REQUESTS:
@@ -185,7 +188,7 @@
             self._drop(stage)
 
     def on_peer_lost(self, name: str) -> None:
-        """Act on the loss of a peer: an entry host, or another stage."""
+        """Drop requests of a lost entry host; report those with a lost stage."""
         for stage in list(self.requests.values()):
             if stage.open.entry == name:
                 self._drop(stage)
@@ -196,7 +199,7 @@
                     break
 
     async def run(self) -> None:
-        """Step the engine for ever: all requests with work in one batch."""
+        """Run engine steps until cancelled; each batches requests with input."""
         await self._reset_engine()
         while True:
             if not self._ready and not self._pending_cancels:
@@ -208,11 +211,11 @@
                 await self._handle_engine_failure(exc)
 
     async def _reset_engine(self) -> None:
-        """Free what an earlier run of this process left in the engine.
+        """Free the slots that an earlier run of this process left in the engine.
 
-        A killed side process cancels nothing; its engine would hold slots
-        and KV cache for requests that were repaired elsewhere long ago. The
-        engine has one side process, so all that it holds is left over.
+        A killed side process cancels nothing, and its engine would keep slots
+        and KV cache for requests that were retried elsewhere. An engine has
+        only one side process, so everything in it is stale.
         """
         self.failing = True
         while True:
@@ -220,7 +223,7 @@
                 await self._engine.reset()
                 break
             except EngineError as exc:
-                logger.warning("engine does not answer yet: {}", exc)
+                logger.warning("engine not reset yet: {}", exc)
                 await anyio.sleep(ENGINE_RETRY_INTERVAL_S)
         self.failing = False
         self.on_change()
@@ -236,11 +239,11 @@
             self._handle_result(result)
 
     def _next_items(self) -> list[StepItem]:
-        """Return the work of one step, those first that have waited longest.
+        """Return the items of the next step, longest waiting requests first.
 
-        A step that took all requests would send them on together, and the
-        other stages of the pipeline would idle meanwhile. So a step takes
-        one part of the open requests, as many parts as there are stages.
+        With all open requests in one step, the other stages of the pipeline
+        would idle meanwhile. So a step takes at most the number of open
+        requests divided by the number of stages, rounded up.
         """
         items: list[StepItem] = []
         now = time.monotonic()
@@ -270,12 +273,12 @@
             self._pending_cancels.append(result.request)
             return
         if result.attempt != stage.open.attempt:
-            # The request was dropped and opened again during the step.
+            # The request was dropped and reopened during the step.
             self._metrics.count_ignored_message("superseded")
             return
         if result.error:
             stage.running_positions = 0
-            logger.bind(request=result.request).warning("engine: {}", result.error)
+            logger.bind(request=result.request).warning("step failed: {}", result.error)
             self._sender.report_failure(
                 stage, RetryReason.ENGINE_FAILED, stage.this_stage.endpoint
             )
@@ -302,9 +305,9 @@
         self, message: Activations | NextToken | ActivationsRequest
     ) -> Stage | None:
         stage = self.requests.get(message.request)
-        # After a repair the stages of the old pipeline may still send, a
-        # frozen one long after. Their work must not reach a KV cache here;
-        # the attempt's number tells it apart.
+        # After a retry, stages of the previous attempt may still send, a frozen
+        # process much later. Their messages must not reach the KV cache here;
+        # they are recognized by the attempt number.
         if stage is None or message.attempt != stage.open.attempt:
             self._metrics.count_ignored_message("superseded")
             return None
@@ -328,8 +331,8 @@
         self.on_change()
 
     async def _handle_engine_failure(self, exc: EngineError) -> None:
-        """Give all requests back, and wait until the engine answers."""
-        logger.warning("engine lost: {}", exc)
+        """Report all requests as failed and wait until the engine responds."""
+        logger.warning("engine failed: {}", exc)
         self.failing = True
         for stage in list(self.requests.values()):
             self._sender.report_failure(
--- a/packages/daemon/src/hemlockhalld/process/web.py
+++ b/packages/daemon/src/hemlockhalld/process/web.py
@@ -1,4 +1,4 @@
-"""The HTTP interface for callers, as an ASGI application."""
+"""HTTP interface for callers, as an ASGI application."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 @dataclass
 class Request:
-    """A caller's request, read whole."""
+    """A caller's request with its complete body."""
 
     id: str
     method: str
@@ -51,14 +51,14 @@
 
 
 class CallerApp:
-    """Answers callers.
+    """ASGI application that serves the callers.
 
     Parameters
     ----------
     entry : Entry
-        The process that this is the interface of.
+        The process that runs the requests.
     body_limit : int
-        Largest body in bytes.
+        Largest accepted body in bytes.
     """
 
     def __init__(self, entry: Entry, body_limit: int) -> None:
@@ -66,7 +66,7 @@
         self._body_limit = body_limit
 
     async def __call__(self, scope: dict[str, Any], receive: Any, send: Any) -> None:
-        """Answer one request; a refusal is a problem document."""
+        """Serve one request; a refusal is sent as a problem document."""
         if scope["type"] == "lifespan":
             await handle_lifespan(receive, send)
             return
@@ -165,8 +165,8 @@
 
     def _model_list(self) -> bytes:
         names = sorted(self._entry.document_cache.document.models)
-        listed = [ModelEntry(name) for name in names]
-        return msgspec.json.encode(ModelList(listed))
+        entries = [ModelEntry(name) for name in names]
+        return msgspec.json.encode(ModelList(entries))
 
     async def _handle_model(
         self,
@@ -301,7 +301,7 @@
 
 
 async def _cancel_on_disconnect(receive: Any, scope: anyio.CancelScope) -> None:
-    """Cancel the request when its caller leaves."""
+    """Cancel the request when its caller disconnects."""
     while True:
         event = await receive()
         if event["type"] == "http.disconnect":
@@ -310,11 +310,11 @@
 
 
 def _first_problem(group: BaseExceptionGroup) -> Problem:
-    found: BaseException = group
-    while isinstance(found, BaseExceptionGroup):
-        found = found.exceptions[0]
-    assert isinstance(found, Problem)
-    return found
+    exc: BaseException = group
+    while isinstance(exc, BaseExceptionGroup):
+        exc = exc.exceptions[0]
+    assert isinstance(exc, Problem)
+    return exc
 
 
 def _parse_deadline(req: Request, default: float) -> float:
