--- a/tests/daemon/process/test_calls.py
+++ b/tests/daemon/process/test_calls.py
@@ -1,4 +1,4 @@
-"""A stateful test of at most once, against a store and hosts that fail."""
+"""Stateful test of at-most-once calls with failures of the store and hosts."""
 
 from __future__ import annotations
 
@@ -26,17 +26,23 @@
 from hemlockhalld.request.claim import Claims
 
 KEYS = ("k1", "k2")
-FAULTS = ("none", "lost", "lost_then_down", "down")
-ENDS = ("answers", "loses_answer", "refuses", "host_dies_before", "host_dies_after")
+STORE_FAULTS = ("none", "lost", "lost_then_down", "down")
+SERVICE_BEHAVIOURS = (
+    "answers",
+    "loses_answer",
+    "refuses",
+    "host_dies_before",
+    "host_dies_after",
+)
 
 
 class HostDiedError(BaseException):
-    """The side process ends here and now."""
+    """The side process dies at this point."""
 
 
 @dataclass
 class FakeTable:
-    """A table service with one fault at a time."""
+    """A table service with one injected fault at a time."""
 
     rows: dict[str, Row] = field(default_factory=dict)
     fault: str = "none"
@@ -50,7 +56,7 @@
         return self.rows.get(key)
 
     async def commit(self, transaction: Transaction) -> int:
-        """Write, and perhaps lose the answer."""
+        """Commit, or fail or lose the response as ``fault`` says."""
         if self.down or self.fault == "down":
             raise StoreUnavailableError("down", 1.0)
         for check in transaction.checks:
@@ -71,24 +77,24 @@
 
 @dataclass
 class FakePeer:
-    """Keeps what would go to the entry host."""
+    """Records the messages to the entry host."""
 
     posted: list[Any] = field(default_factory=list)
 
     def post(self, message: Any) -> None:
-        """Keep a message."""
+        """Record a message."""
         self.posted.append(message)
 
 
 class Bookings(RuleBasedStateMachine):
-    """Two side processes book under two keys; hosts and store fail at will."""
+    """Two side processes make calls under two keys while hosts and store fail."""
 
     def __init__(self) -> None:
         super().__init__()
         self.table = FakeTable()
-        self.effects: Counter[str] = Counter()
-        self.answers: dict[str, set[bytes]] = {key: set() for key in KEYS}
-        self.end = "answers"
+        self.call_counts: Counter[str] = Counter()
+        self.response_bodies: dict[str, set[bytes]] = {key: set() for key in KEYS}
+        self.service_behaviour = "answers"
         self.boots = 0
         self.requests = 0
 
@@ -99,36 +105,40 @@
     def side(self) -> tuple[Calls, Claims]:
         self.boots += 1
         claims = Claims(self.table, self.boots)  # type: ignore[arg-type]
-        made = Calls("http://service", claims)
+        calls = Calls("http://service", claims)
         transport = httpx.MockTransport(self.serve)
-        made._client = httpx.AsyncClient(transport=transport, base_url="http://service")
-        return made, claims
+        calls._client = httpx.AsyncClient(
+            transport=transport, base_url="http://service"
+        )
+        return calls, claims
 
     def serve(self, request: httpx.Request) -> httpx.Response:
-        if self.end == "refuses":
+        if self.service_behaviour == "refuses":
             raise httpx.ConnectError("refused")
-        if self.end == "host_dies_before":
+        if self.service_behaviour == "host_dies_before":
             raise HostDiedError
         key = request.headers["x-key"]
-        self.effects[key] += 1
-        if self.end == "host_dies_after":
+        self.call_counts[key] += 1
+        if self.service_behaviour == "host_dies_after":
             raise HostDiedError
-        if self.end == "loses_answer":
+        if self.service_behaviour == "loses_answer":
             raise httpx.ReadError("cut")
-        return httpx.Response(201, content=f"{key}-{self.effects[key]}".encode())
+        return httpx.Response(201, content=f"{key}-{self.call_counts[key]}".encode())
 
     @rule(
         side=st.integers(0, 1),
         key=st.sampled_from(KEYS),
-        fault=st.sampled_from(FAULTS),
-        end=st.sampled_from(ENDS),
+        fault=st.sampled_from(STORE_FAULTS),
+        service_behaviour=st.sampled_from(SERVICE_BEHAVIOURS),
         expired=st.booleans(),
     )
-    def book(self, side: int, key: str, fault: str, end: str, expired: bool) -> None:
-        self.table.fault, self.end = fault, end
+    def book(
+        self, side: int, key: str, fault: str, service_behaviour: str, expired: bool
+    ) -> None:
+        self.table.fault, self.service_behaviour = fault, service_behaviour
         self.requests += 1
         call = self.call(key, -1.0 if expired else 9.0)
-        before = self.effects[key]
+        count_before = self.call_counts[key]
         peer = FakePeer()
         try:
             anyio.run(self.sides[side][0].run, peer, call)
@@ -136,7 +146,7 @@
             self.sides[side] = self.side()
         self.table.fault = "none"
         for message in peer.posted:
-            self.check_message(key, before, message)
+            self.check_message(key, count_before, message)
 
     def call(self, key: str, expires_in: float) -> Call:
         from hemlockhall_core.connection.message import Header
@@ -159,13 +169,15 @@
             expires_in,
         )
 
-    def check_message(self, key: str, before: int, message: Any) -> None:
+    def check_message(self, key: str, count_before: int, message: Any) -> None:
         if isinstance(message, CallResponse):
-            self.answers[key].add(message.body)
+            self.response_bodies[key].add(message.body)
             return
         assert isinstance(message, CallRefused)
         if message.ran == Ran.NO.value:
-            assert self.effects[key] == before, f"'not run' but it ran: {message}"
+            assert self.call_counts[key] == count_before, (
+                f"reported as not executed, but it ran: {message}"
+            )
 
     @rule()
     def store_is_back(self) -> None:
@@ -186,12 +198,16 @@
     @invariant()
     def at_most_once(self) -> None:
         for key in KEYS:
-            assert self.effects[key] <= 1, f"{key} ran {self.effects[key]} times"
-            assert len(self.answers[key]) <= 1, self.answers[key]
+            assert self.call_counts[key] <= 1, (
+                f"{key} ran {self.call_counts[key]} times"
+            )
+            assert len(self.response_bodies[key]) <= 1, self.response_bodies[key]
 
 
 class TestAtMostOnce:
-    def test_orders_of_failures(self, monkeypatch: pytest.MonkeyPatch) -> None:
+    def test_no_sequence_of_failures_runs_a_call_twice(
+        self, monkeypatch: pytest.MonkeyPatch
+    ) -> None:
         monkeypatch.setattr(calls_module, "CLAIM_POLL_DELAYS_S", (0.0,))
         from hypothesis.stateful import run_state_machine_as_test
 
@@ -200,11 +216,12 @@
         )
         run_state_machine_as_test(Bookings, settings=profile)
 
-    def test_a_paused_holder_finds_the_deadline_past(self) -> None:
+    def test_call_is_not_started_after_its_deadline(self) -> None:
+        """A side process that was paused must not start an expired call."""
         machine = Bookings()
         machine.start()
         call = machine.call("k1", -1.0)
         peer = FakePeer()
         anyio.run(machine.sides[0][0].run, peer, call)
         assert peer.posted[0].ran == Ran.NO.value
-        assert machine.effects["k1"] == 0
+        assert machine.call_counts["k1"] == 0
--- a/tests/daemon/process/test_limiter.py
+++ b/tests/daemon/process/test_limiter.py
@@ -1,4 +1,4 @@
-"""Tests of the limits of a customer."""
+"""Tests of the rate and concurrency limits of a customer."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 CUSTOMER = Customer("parish", 1, 0.001, 4)
 
 
-class TestEnter:
-    def test_concurrency_is_shared_by_the_entry_hosts(self) -> None:
+class TestAdmit:
+    def test_concurrency_limit_is_divided_by_the_host_count(self) -> None:
         limiter = Limiter(lambda: 2)
         fast = Customer("parish", 1, 1e6, 4)
         limiter.admit(fast)
@@ -24,7 +24,7 @@
         limiter.release(fast)
         limiter.admit(fast)
 
-    def test_rate_tells_when_to_come_back(self) -> None:
+    def test_rate_limit_sets_retry_after(self) -> None:
         limiter = Limiter(lambda: 1)
         limiter.admit(CUSTOMER)
         with pytest.raises(Problem) as caught:
--- a/tests/daemon/process/test_stages.py
+++ b/tests/daemon/process/test_stages.py
@@ -1,4 +1,4 @@
-"""Tests of the requests at one endpoint: late and superseded messages."""
+"""Tests of late, repeated and superseded messages at one endpoint."""
 
 from __future__ import annotations
 
@@ -29,25 +29,25 @@
 
 @dataclass
 class FakePeer:
-    """Keeps what is sent to one peer."""
+    """Records the messages to one peer."""
 
     alive: bool = True
     posted: list[Any] = field(default_factory=list)
 
     def post(self, message: Any) -> None:
-        """Keep a message."""
+        """Record a message."""
         self.posted.append(message)
 
 
 @dataclass
 class FakeLink:
-    """Peers by name."""
+    """Holds one fake peer for each name."""
 
     name: str = "b"
     peers: dict[str, FakePeer] = field(default_factory=dict)
 
     def peer(self, name: str, address: str) -> FakePeer:
-        """Return a peer."""
+        """Return the peer, created at the first use."""
         return self.peers.setdefault(name, FakePeer())
 
 
@@ -68,39 +68,39 @@
 
 
 class TestOpen:
-    # The entry host closes the request at each stage directly; the opening
-    # comes along the pipeline and arrives after it.
-    def test_an_opening_after_its_own_close_is_dropped(self, stages: Stages) -> None:
+    def test_open_after_its_own_close_is_dropped(self, stages: Stages) -> None:
+        """The entry host closes each stage directly, but the opening comes along
+        the pipeline and can arrive later."""
         stages.on_close(Close("r", 1))
         stages.on_open(opened(1))
         assert stages.requests == {}
 
-    def test_a_later_attempt_after_a_close_is_taken(self, stages: Stages) -> None:
+    def test_later_attempt_after_a_close_is_opened(self, stages: Stages) -> None:
         stages.on_close(Close("r", 1))
         stages.on_open(opened(2))
         assert stages.requests["r"].open.attempt == 2
 
-    def test_a_lower_attempt_does_not_replace_a_higher(self, stages: Stages) -> None:
+    def test_earlier_attempt_does_not_replace_a_later_one(self, stages: Stages) -> None:
         stages.on_open(opened(2))
         stages.on_open(opened(1))
         assert stages.requests["r"].open.attempt == 2
 
-    def test_a_repair_asks_the_stage_before_for_what_is_lacking(
+    def test_retry_requests_missing_activations_from_the_previous_stage(
         self, stages: Stages, link: FakeLink
     ) -> None:
         stages.on_open(opened(2, resume=True))
         assert link.peers["a"].posted == [ActivationsRequest("r", 2, 0)]
 
 
-class TestHop:
-    # A stage was frozen, its pipeline repaired, and it resumes: its old hops
-    # must not be appended to the KV cache of the new attempt.
-    def test_a_superseded_hop_is_dropped(self, stages: Stages) -> None:
+class TestActivations:
+    def test_superseded_activations_are_dropped(self, stages: Stages) -> None:
+        """A frozen stage resumes after a retry and sends activations of the old
+        attempt, which must not be appended to the KV cache of the new one."""
         stages.on_open(opened(2))
         stages.on_activations(Activations("r", 1, 2, 0, 3, [b"x"]))
         assert stages.requests["r"].inputs == []
 
-    def test_hops_of_other_layers_fail_the_attempt(
+    def test_activations_for_other_layers_fail_the_attempt(
         self, stages: Stages, link: FakeLink
     ) -> None:
         stages.on_open(opened(1))
@@ -108,28 +108,30 @@
         failed = Failed("r", 1, "b", RetryReason.HOP_GAP.value)
         assert link.peers["e"].posted == [failed]
 
-    def test_a_gap_fails_the_attempt(self, stages: Stages, link: FakeLink) -> None:
+    def test_gap_in_activations_fails_the_attempt(
+        self, stages: Stages, link: FakeLink
+    ) -> None:
         stages.on_open(opened(1))
         stages.on_activations(Activations("r", 1, 2, 1, 3, [b"x"]))
         failed = Failed("r", 1, "b", RetryReason.HOP_GAP.value)
         assert link.peers["e"].posted == [failed]
 
 
-class TestLoop:
-    def test_a_repeated_token_is_dropped(self, stages: Stages) -> None:
+class TestNextToken:
+    def test_repeated_token_is_dropped(self, stages: Stages) -> None:
         stages.on_open(opened(1, index=0))
         stages.on_next_token(NextToken("r", 1, 0, 77))
         stages.on_next_token(NextToken("r", 1, 0, 78))
         assert stages.requests["r"].tokens == [77]
 
 
-class TestLost:
+class TestPeerLost:
     def test_requests_of_a_lost_entry_host_are_dropped(self, stages: Stages) -> None:
         stages.on_open(opened(1))
         stages.on_peer_lost("e")
         assert stages.requests == {}
 
-    def test_a_lost_neighbour_is_reported(self, stages: Stages, link: FakeLink) -> None:
+    def test_lost_stage_is_reported(self, stages: Stages, link: FakeLink) -> None:
         stages.on_open(opened(1))
         stages.on_peer_lost("a")
         failed = Failed("r", 1, "a", RetryReason.PEER_LOST.value)
--- a/tests/daemon/process/test_web.py
+++ b/tests/daemon/process/test_web.py
@@ -1,4 +1,4 @@
-"""What callers get, good and bad, from real processes."""
+"""Tests of the callers' HTTP interface against real processes."""
 
 from __future__ import annotations
 
@@ -40,11 +40,11 @@
 
 @pytest.fixture()
 def client(deployment: Deployment) -> Iterator[httpx.Client]:
-    with deployment.client() as made:
-        yield made
+    with deployment.client() as http_client:
+        yield http_client
 
 
-def problem(
+def check_problem(
     response: httpx.Response, reason: RefusalReason, status: int
 ) -> dict[str, Any]:
     assert response.status_code == status, response.text
@@ -61,24 +61,26 @@
         listed = [entry["id"] for entry in client.get("/v1/models").json()["data"]]
         assert listed == ["organ-12b", "organ-notices"]
 
-    def test_whole_chat_answer(self, client: httpx.Client) -> None:
-        answer = client.post(CHAT, json=ask("Notice", 6, stream=False)).json()
-        text = answer["choices"][0]["message"]["content"]
+    def test_chat_completion_is_complete(self, client: httpx.Client) -> None:
+        response = client.post(CHAT, json=ask("Notice", 6, stream=False)).json()
+        text = response["choices"][0]["message"]["content"]
         assert text == reference_answer(prompt_text("Notice"), 6, LAYERS)
-        assert answer["usage"] == {
+        assert response["usage"] == {
             "prompt_tokens": 3,
             "completion_tokens": 6,
             "total_tokens": 9,
         }
 
-    def test_plain_completion_by_an_adapter(self, client: httpx.Client) -> None:
+    def test_completion_of_an_adapter_differs_from_its_base_model(
+        self, client: httpx.Client
+    ) -> None:
         body = {"model": "organ-notices", "prompt": "Notice", "max_tokens": 4}
-        answer = client.post("/v1/completions", json=body).json()
-        assert answer["choices"][0]["finish_reason"] == "length"
+        response = client.post("/v1/completions", json=body).json()
+        assert response["choices"][0]["finish_reason"] == "length"
         plain = reference_answer("Notice", 4, LAYERS)
-        assert answer["choices"][0]["text"] not in ("", plain)
+        assert response["choices"][0]["text"] not in ("", plain)
 
-    def test_plain_completion_streams_events(self, client: httpx.Client) -> None:
+    def test_completion_is_streamed_as_events(self, client: httpx.Client) -> None:
         body = {"model": MODEL, "prompt": "Notice", "max_tokens": 3, "stream": True}
         lines = client.post("/v1/completions", json=body).text.split("\n\n")
         assert lines[-2:] == ["data: [DONE]", ""]
@@ -87,44 +89,50 @@
 
 
 class TestRefusals:
-    def test_malformed_json(self, client: httpx.Client) -> None:
-        body = problem(
+    def test_malformed_json_is_refused(self, client: httpx.Client) -> None:
+        body = check_problem(
             client.post(CHAT, content=b"{no"), RefusalReason.MALFORMED_BODY, 400
         )
         assert "not JSON" in body["detail"]
 
-    def test_all_faults_of_a_body_are_named(self, client: httpx.Client) -> None:
+    def test_all_errors_of_a_body_are_listed(self, client: httpx.Client) -> None:
         wrong = {"model": 5, "messages": [], "max_tokens": -1}
-        body = problem(client.post(CHAT, json=wrong), RefusalReason.MALFORMED_BODY, 400)
-        for place in ("model", "messages", "max_tokens"):
-            assert place in body["detail"]
+        body = check_problem(
+            client.post(CHAT, json=wrong), RefusalReason.MALFORMED_BODY, 400
+        )
+        for location in ("model", "messages", "max_tokens"):
+            assert location in body["detail"]
 
-    def test_body_over_the_limit(self, client: httpx.Client) -> None:
+    def test_body_over_the_limit_is_refused(self, client: httpx.Client) -> None:
         response = client.post(CHAT, content=b" " * 1_100_000)
-        problem(response, RefusalReason.BODY_TOO_LARGE, 413)
+        check_problem(response, RefusalReason.BODY_TOO_LARGE, 413)
 
-    def test_unknown_model(self, client: httpx.Client) -> None:
+    def test_unknown_model_is_refused(self, client: httpx.Client) -> None:
         body = ask("x", 1, stream=True, model="flute")
-        problem(client.post(CHAT, json=body), RefusalReason.UNKNOWN_MODEL, 404)
+        check_problem(client.post(CHAT, json=body), RefusalReason.UNKNOWN_MODEL, 404)
 
-    def test_unknown_key_reaches_nothing(self, deployment: Deployment) -> None:
+    def test_unknown_api_key_does_not_reach_the_engine(
+        self, deployment: Deployment
+    ) -> None:
         before = len(deployment.tally("a1")["steps"])
         with deployment.client(key="wrong") as client:
             response = client.post(CHAT, json=ask("x", 1, stream=False))
-        problem(response, RefusalReason.UNAUTHORIZED, 401)
+        check_problem(response, RefusalReason.UNAUTHORIZED, 401)
         assert len(deployment.tally("a1")["steps"]) == before
 
     @pytest.mark.parametrize("text", ["soon", "-1", "0", "1e9", "nan"])
-    def test_bad_deadline(self, client: httpx.Client, text: str) -> None:
+    def test_invalid_deadline_is_refused(self, client: httpx.Client, text: str) -> None:
         headers = {"x-deadline-seconds": text}
         response = client.post(CHAT, json=ask("x", 1, stream=False), headers=headers)
-        problem(response, RefusalReason.BAD_DEADLINE, 400)
+        check_problem(response, RefusalReason.BAD_DEADLINE, 400)
 
-    def test_unknown_path_and_service(self, client: httpx.Client) -> None:
-        problem(client.get("/v2/things"), RefusalReason.NOT_FOUND, 404)
-        problem(client.get("/services/x/y"), RefusalReason.UNKNOWN_SERVICE, 404)
+    def test_unknown_path_service_and_call_are_refused(
+        self, client: httpx.Client
+    ) -> None:
+        check_problem(client.get("/v2/things"), RefusalReason.NOT_FOUND, 404)
+        check_problem(client.get("/services/x/y"), RefusalReason.UNKNOWN_SERVICE, 404)
         response = client.put("/services/booking/bookings")
-        problem(response, RefusalReason.CALL_UNDECLARED, 405)
+        check_problem(response, RefusalReason.CALL_UNDECLARED, 405)
 
     def test_every_reason_has_a_counter(
         self, deployment: Deployment, client: httpx.Client
@@ -139,7 +147,7 @@
 
 
 class TestServices:
-    def test_query_body_and_headers_go_both_ways(self, client: httpx.Client) -> None:
+    def test_query_body_and_headers_are_forwarded(self, client: httpx.Client) -> None:
         response = client.get("/services/booking/calendar?month=12")
         assert response.json()["q"] == {"month": "12"}
         key = {"idempotency-key": "w-1"}
@@ -147,15 +155,19 @@
         assert booked.headers["x-service"] == "booking"
         assert booked.json()["what"] == [1]
 
-    # The path cannot stand in a URL as it is. The side process must pass it
-    # on or refuse it, and live on for its other callers.
     @pytest.mark.parametrize("part", ["a%00b", "%7F", "a b", "%C3%A9", "x%3Fy"])
-    def test_odd_paths(self, client: httpx.Client, part: str) -> None:
+    def test_path_that_needs_escaping_is_forwarded(
+        self, client: httpx.Client, part: str
+    ) -> None:
+        """A path that cannot be used in a URL unescaped must not end the side
+        process, which also serves other callers."""
         response = client.get(f"/services/booking/venues/{part}")
         assert response.status_code == 200, response.text
         assert response.json()["venue"] == unquote(part)
 
-    def test_no_endpoint_left(self, deployment: Deployment) -> None:
+    def test_call_without_live_endpoint_is_refused(
+        self, deployment: Deployment
+    ) -> None:
         deployment.kill("loft-1")
         with deployment.client() as client:
             response = client.get("/services/booking/calendar")
@@ -167,28 +179,28 @@
         deployment.wait_ready("entry-1")
 
 
-class TestHostileFrames:
+class TestMalformedBatches:
     @pytest.mark.parametrize("data", [b"", b"\xc1", b"\x9b" * 11, b"x" * 100_000])
-    def test_garbage_is_counted_and_survived(
+    def test_malformed_batch_is_counted_and_does_not_end_the_process(
         self, deployment: Deployment, client: httpx.Client, data: bytes
     ) -> None:
         before = deployment.counter("a1", "batches", "malformed")
         address = deployment.nodes["a1"].link
         with pynng.Push0(dial=f"tcp://{address}", block_on_dial=True) as sock:
             sock.send(data)
-            answer = client.post(CHAT, json=ask("Notice", 2, stream=False))
-            assert answer.status_code == 200
+            response = client.post(CHAT, json=ask("Notice", 2, stream=False))
+            assert response.status_code == 200
             while deployment.counter("a1", "batches", "malformed") == before:
                 assert deployment.running("a1")
 
-    def test_bytes_that_are_not_of_the_transport(
+    def test_bytes_of_another_protocol_do_not_end_the_process(
         self, deployment: Deployment, client: httpx.Client
     ) -> None:
         host, port = deployment.nodes["a1"].link.split(":")
         with socket.create_connection((host, int(port))) as sock:
             sock.sendall(b"GET / HTTP/1.1\r\n\r\n" * 50)
-        answer = client.post(CHAT, json=ask("Notice", 2, stream=False))
-        assert answer.status_code == 200
+        response = client.post(CHAT, json=ask("Notice", 2, stream=False))
+        assert response.status_code == 200
 
 
 class TestLogs:
@@ -207,26 +219,33 @@
         args = [program, "side", "--settings", str(path)]
         return subprocess.run(args, capture_output=True, text=True, check=False)
 
-    def test_every_fault_is_named(self, deployment: Deployment, tmp_path: Path) -> None:
+    def test_all_errors_of_the_settings_are_listed(
+        self, deployment: Deployment, tmp_path: Path
+    ) -> None:
         text = deployment.nodes["a1"].settings.read_text()
         text = text.replace('kind = "engine"', 'kind = "motor"')
         text = text.replace("step_timeout_s = 2.0", 'step_timeout_s = "long"')
         path = tmp_path / "side.toml"
         path.write_text(text + "colour = 1\n")
-        ended = self.start(deployment, path)
-        assert ended.returncode == 1
-        for place in ("side.kind", "side.step_timeout_s", "side.colour"):
-            assert place in ended.stderr
+        completed = self.start(deployment, path)
+        assert completed.returncode == 1
+        for location in ("side.kind", "side.step_timeout_s", "side.colour"):
+            assert location in completed.stderr
 
-    def test_check_only(self, deployment: Deployment) -> None:
+    def test_check_settings_does_not_start_the_process(
+        self, deployment: Deployment
+    ) -> None:
         program = deployment.program("hemlockhalld")
         path = str(deployment.nodes["a1"].settings)
         args = [program, "side", "--check-settings", "--settings", path]
-        ended = subprocess.run(args, capture_output=True, text=True, check=False)
-        assert (ended.returncode, ended.stdout) == (0, f"{path}: settings are valid\n")
+        completed = subprocess.run(args, capture_output=True, text=True, check=False)
+        assert (completed.returncode, completed.stdout) == (
+            0,
+            f"{path}: settings are valid\n",
+        )
 
-    def test_address_in_use(self, deployment: Deployment) -> None:
-        ended = self.start(deployment, deployment.nodes["a1"].settings)
-        assert ended.returncode == 1
-        assert "set link.address to a free address" in ended.stderr
+    def test_address_in_use_is_reported(self, deployment: Deployment) -> None:
+        completed = self.start(deployment, deployment.nodes["a1"].settings)
+        assert completed.returncode == 1
+        assert "set link.address to a free address" in completed.stderr
         assert deployment.running("a1")
--- a/tests/daemon/request/test_claim.py
+++ b/tests/daemon/request/test_claim.py
@@ -1,4 +1,4 @@
-"""Outcomes of calls on their way to the store."""
+"""Tests of concurrent writes and removals of claims."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 pytestmark = pytest.mark.anyio
 
-# Seconds a test waits for what must happen; generous for busy machines.
-WAIT_S = 20.0
+# Limit on a wait for another task, generous for busy machines.
+WAIT_TIMEOUT_S = 20.0
 
 
 class SlowTable:
-    """A table whose writes of one key wait until they are let go."""
+    """A table service whose writes of ``k1`` wait until ``go`` is set."""
 
     def __init__(self) -> None:
         self.rows: list[Row] = []
@@ -25,14 +25,14 @@
         self.go = anyio.Event()
 
     async def commit(self, transaction: object) -> int:
-        """Take a write; the one of ``k1`` waits."""
+        """Commit; a write of ``k1`` waits."""
         if "k1" in repr(transaction):
             self.waiting.set()
             await self.go.wait()
         return 1
 
     async def read(self, key: str) -> Row | None:
-        """Return the row; the second reader waits."""
+        """Return the next row; the read of the last one waits."""
         if not self.rows:
             return None
         row = self.rows.pop()
@@ -43,21 +43,20 @@
 
 
 class TestOutcomes:
-    async def test_an_outcome_is_written_by_two_at_once(self) -> None:
-        """A booking's outcome is being written when the round that repeats
-        unwritten ones begins, with another key before it. By the time that the
-        round comes to it, it is written and forgotten; the round ended the side
-        process, and the callers were told that the outcome is not known."""
+    async def test_outcome_written_by_two_tasks_does_not_end_the_process(self) -> None:
+        """``complete`` writes an outcome while ``run`` waits for another key. ``run``
+        then failed on the key that was no longer pending: the side process ended,
+        and callers were told that the outcome is not known."""
         table = SlowTable()
         claims = Claims(table, 1)  # type: ignore[arg-type]
         for key in ("k1", "k2"):
             claims._outcomes[key] = ClaimResult(Claim("1-1", "digest"), True, 1)
         async with anyio.create_task_group() as group:
             group.start_soon(claims.run)
-            with anyio.fail_after(WAIT_S):
+            with anyio.fail_after(WAIT_TIMEOUT_S):
                 await table.waiting.wait()
-                answer = CallResponse("r1", 1, 201, [], b"booked")
-                await claims.complete("k2", claims._outcomes["k2"], answer)
+                response = CallResponse("r1", 1, 201, [], b"booked")
+                await claims.complete("k2", claims._outcomes["k2"], response)
                 table.go.set()
                 while claims.pending_outcomes():
                     await anyio.sleep(0.005)
@@ -65,9 +64,9 @@
             group.cancel_scope.cancel()
         assert claims.pending_outcomes() == 0
 
-    async def test_a_claim_is_given_back_by_two_at_once(self) -> None:
-        """A claim is given back while the round that repeats this reads the
-        same row. It ended the side process in the same way."""
+    async def test_claim_removed_by_two_tasks_does_not_end_the_process(self) -> None:
+        """A claim is removed while another removal reads the same row. The second
+        removal failed, which ended the side process."""
         table = SlowTable()
         claims = Claims(table, 1)  # type: ignore[arg-type]
         claim = Claim("1-1", "digest")
@@ -75,7 +74,7 @@
         table.rows = [row, row]
         claims._abandon("k2", claim)
         async with anyio.create_task_group() as group:
-            with anyio.fail_after(WAIT_S):
+            with anyio.fail_after(WAIT_TIMEOUT_S):
                 await claims._remove_abandoned("k2")
                 claims._abandon("k2", claim)
                 group.start_soon(claims._remove_abandoned, "k2")
--- a/tests/daemon/request/test_service_call.py
+++ b/tests/daemon/request/test_service_call.py
@@ -1,4 +1,4 @@
-"""Tests of a call of a plain service at the entry host."""
+"""Tests of a call of a plain service at the entry host, with retries."""
 
 from __future__ import annotations
 
@@ -26,22 +26,22 @@
 
 @dataclass
 class FakeSide:
-    """A side process: what it answers, and whether a call was sent yet."""
+    """A side process that calls ``respond`` for a call."""
 
-    news: Any
-    waits: bool = False
+    respond: Any
+    queued: bool = False
     service_call: ServiceCall | None = None
     posted: list[Any] = field(default_factory=list)
 
     def post(self, message: Any) -> None:
-        """Answer a call."""
+        """Record a message; post the event that responds to a call."""
         self.posted.append(message)
         if isinstance(message, Call) and self.service_call is not None:
-            self.service_call.post(self.news(message))
+            self.service_call.post(self.respond(message))
 
     def cancel(self, message: Any) -> bool:
-        """Take a call back if it was not sent."""
-        if not self.waits:
+        """Cancel a call that is still queued."""
+        if not self.queued:
             return False
         self.posted.remove(message)
         return True
@@ -49,19 +49,19 @@
 
 @dataclass
 class FakeLink:
-    """Side processes by name."""
+    """Holds the fake side processes by name."""
 
     peers: dict[str, FakeSide]
 
     def peer(self, name: str, address: str) -> FakeSide:
-        """Return a side process."""
+        """Return the side process of that name."""
         return self.peers[name]
 
 
 def run(**sides: FakeSide) -> CallResponse:
     def choose(service: str, avoid: set[str]) -> Endpoint | None:
-        left = [name for name in sides if name not in avoid]
-        return endpoint(left[0]) if left else None
+        remaining = [name for name in sides if name not in avoid]
+        return endpoint(remaining[0]) if remaining else None
 
     async def main() -> CallResponse:
         deadline = time.monotonic() + 9
@@ -77,45 +77,46 @@
     return anyio.run(main)
 
 
-def lost(message: Call) -> PeerLost:
+def peer_lost(message: Call) -> PeerLost:
     return PeerLost("a", False)
 
 
-class TestAnswer:
-    def test_a_leaving_endpoint_passes_the_call_on(self) -> None:
+class TestResponse:
+    def test_call_refused_by_a_leaving_endpoint_is_retried(self) -> None:
         def leaving(message: Call) -> CallRefused:
-            word = RetryReason.ENDPOINT_LEAVING.value
-            return CallRefused("r", message.attempt, word, "no", "", 0.0)
+            reason = RetryReason.ENDPOINT_LEAVING.value
+            return CallRefused("r", message.attempt, reason, "no", "", 0.0)
 
-        answer = run(
+        response = run(
             a=FakeSide(leaving),
             b=FakeSide(lambda m: CallResponse("r", m.attempt, 201, [], b"")),
         )
-        assert answer.status == 201
+        assert response.status == 201
 
-    # The only endpoint dies before the call left this process. The call is
-    # taken back: it can run neither now nor when the endpoint is back.
-    def test_not_sent_is_not_run(self) -> None:
-        side = FakeSide(lost, waits=True)
+    def test_queued_call_to_a_lost_endpoint_is_not_executed(self) -> None:
+        """The only endpoint dies while the call is still queued. The call is
+        cancelled, so that it does not run when the endpoint comes back."""
+        side = FakeSide(peer_lost, queued=True)
         with pytest.raises(Problem) as caught:
             run(a=side)
         assert caught.value.reason is RefusalReason.NO_ENDPOINT
         assert caught.value.ran is Ran.NO
         assert side.posted == []
 
-    def test_sent_and_lost_is_unknown(self) -> None:
+    def test_sent_call_to_a_lost_endpoint_may_have_run(self) -> None:
         with pytest.raises(Problem) as caught:
-            run(a=FakeSide(lost))
+            run(a=FakeSide(peer_lost))
         assert caught.value.ran is Ran.UNKNOWN
 
-    # The first endpoint may have run the call; the second did not. Together
-    # that is unknown, whatever the second says.
-    def test_a_refusal_after_a_loss_stays_unknown(self) -> None:
+    def test_refusal_after_a_loss_may_have_run(self) -> None:
+        """The first endpoint may have run the call, so that the refusal of the
+        second must not report it as not executed."""
+
         def refused(message: Call) -> CallRefused:
-            word = RefusalReason.STORE_UNAVAILABLE.value
-            return CallRefused("r", message.attempt, word, "no", "", 1.0)
+            reason = RefusalReason.STORE_UNAVAILABLE.value
+            return CallRefused("r", message.attempt, reason, "no", "", 1.0)
 
         with pytest.raises(Problem) as caught:
-            run(a=FakeSide(lost), b=FakeSide(refused))
+            run(a=FakeSide(peer_lost), b=FakeSide(refused))
         assert caught.value.reason is RefusalReason.STORE_UNAVAILABLE
         assert caught.value.ran is Ran.UNKNOWN
