--- a/packages/daemon/src/hemlockhalld/process/base.py
+++ b/packages/daemon/src/hemlockhalld/process/base.py
@@ -52,17 +52,17 @@
         self.document_cache = DocumentCache(
             section_names, self.metrics, self.on_document_adopted
         )
-        section = settings.link
+        cfg = settings.link
         timing = Timing(
-            section.heartbeat_s,
-            section.idle_s,
-            section.renew_s,
-            section.dead_s,
-            section.refused_s,
+            cfg.heartbeat_s,
+            cfg.idle_s,
+            cfg.renew_s,
+            cfg.dead_s,
+            cfg.refused_s,
         )
-        address = section.advertise or section.address
+        address = cfg.advertise or cfg.address
         name = settings.process.name
-        self.link = Link(name, section.address, address, self, self.metrics, timing)
+        self.link = Link(name, cfg.address, address, self, self.metrics, timing)
         self.task_group: anyio.abc.TaskGroup | None = None
         self.server_group: anyio.abc.TaskGroup | None = None
         self.stopped = anyio.Event()
--- a/packages/daemon/src/hemlockhalld/process/engine.py
+++ b/packages/daemon/src/hemlockhalld/process/engine.py
@@ -119,7 +119,7 @@
 __all__ = [
     "EngineClient",
     "EngineError",
+    "SampledToken",
     "StepItem",
     "StepResult",
-    "SampledToken",
 ]
--- a/packages/daemon/src/hemlockhalld/process/limiter.py
+++ b/packages/daemon/src/hemlockhalld/process/limiter.py
@@ -42,11 +42,11 @@
     def admit(self, customer: Customer) -> None:
         """Admit a request or raise :class:`Problem`; pair with ``release``."""
         host_count = max(1, self._host_count())
-        rate = customer.rate_per_s / host_count
-        burst = max(1.0, rate)
+        rate_per_s = customer.rate_per_s / host_count
+        burst = max(1.0, rate_per_s)
         usage = self._usages.setdefault(customer.name, CustomerUsage(burst))
         now = time.monotonic()
-        usage.tokens = min(burst, usage.tokens + (now - usage.updated_at) * rate)
+        usage.tokens = min(burst, usage.tokens + (now - usage.updated_at) * rate_per_s)
         usage.updated_at = now
         if usage.open_requests >= max(1, customer.concurrency // host_count):
             detail = f"{usage.open_requests} requests of {customer.name} are open here"
@@ -59,7 +59,7 @@
             detail = (
                 f"{customer.name} is over its {customer.rate_per_s} requests a second"
             )
-            wait_s = (1 - usage.tokens) / rate
+            wait_s = (1 - usage.tokens) / rate_per_s
             raise Problem(RefusalReason.RATE_LIMITED, detail, retry_after=wait_s)
         usage.tokens -= 1
         usage.open_requests += 1
--- a/packages/daemon/src/hemlockhalld/process/web.py
+++ b/packages/daemon/src/hemlockhalld/process/web.py
@@ -317,18 +317,18 @@
     return exc
 
 
-def _parse_deadline(req: Request, default: float) -> float:
+def _parse_deadline(req: Request, default_timeout_s: float) -> float:
     text = req.headers.get(DEADLINE_HEADER)
     if text is None:
-        return time.monotonic() + default
+        return time.monotonic() + default_timeout_s
     try:
-        seconds = float(text)
+        timeout_s = float(text)
     except ValueError:
-        seconds = 0.0
-    if not 0 < seconds <= MAX_DEADLINE_S:
+        timeout_s = 0.0
+    if not 0 < timeout_s <= MAX_DEADLINE_S:
         detail = f"{DEADLINE_HEADER} must be seconds above 0, up to {MAX_DEADLINE_S}"
         raise Problem(RefusalReason.BAD_DEADLINE, detail, Ran.NO)
-    return time.monotonic() + seconds
+    return time.monotonic() + timeout_s
 
 
 __all__ = [
--- a/packages/daemon/src/hemlockhalld/request/claim.py
+++ b/packages/daemon/src/hemlockhalld/request/claim.py
@@ -196,8 +196,8 @@
 
 __all__ = [
     "Claim",
-    "Claims",
     "ClaimResult",
+    "Claims",
     "call_digest",
     "claim_key",
 ]
--- a/packages/daemon/src/hemlockhalld/request/generation.py
+++ b/packages/daemon/src/hemlockhalld/request/generation.py
@@ -306,7 +306,7 @@
 
 __all__ = [
     "Generation",
+    "GenerationParams",
     "PeerLost",
     "Token",
-    "GenerationParams",
 ]
--- a/packages/daemon/src/hemlockhalld/request/response_format.py
+++ b/packages/daemon/src/hemlockhalld/request/response_format.py
@@ -152,9 +152,9 @@
 __all__ = [
     "DONE",
     "ChatFormat",
-    "ResponseFormat",
     "ModelEntry",
     "ModelList",
+    "ResponseFormat",
     "TextFormat",
     "error_event",
 ]
