--- a/packages/cli/src/hemlockhall_cli/main.py
+++ b/packages/cli/src/hemlockhall_cli/main.py
@@ -1,4 +1,4 @@
-"""Command line of the operators."""
+"""Command line for operators: edit, submit and watch the document."""
 
 from __future__ import annotations
 
@@ -28,33 +28,33 @@
     from hemlockhall_core.version.repository import Accepted, Revision
 
 T = TypeVar("T")
-BASE_LINE = "# hemlockhall version {}"
-BASE_PATTERN = re.compile(r"^# hemlockhall version (\d+)$", re.MULTILINE)
-WATCH_INTERVAL = 0.5
-TELL_TIMEOUT = 2.0
-
-TABLE = click.option("--table", envvar="HEMLOCKHALL_TABLE", required=True)
-OBJECTS = click.option("--objects", envvar="HEMLOCKHALL_OBJECTS", required=True)
-ENTRIES = click.option(
+BASE_VERSION_LINE = "# hemlockhall version {}"
+BASE_VERSION_PATTERN = re.compile(r"^# hemlockhall version (\d+)$", re.MULTILINE)
+WATCH_INTERVAL_S = 0.5
+NOTIFY_TIMEOUT_S = 2.0
+
+TABLE_OPTION = click.option("--table", envvar="HEMLOCKHALL_TABLE", required=True)
+OBJECTS_OPTION = click.option("--objects", envvar="HEMLOCKHALL_OBJECTS", required=True)
+ENTRIES_OPTION = click.option(
     "--entry",
     "entries",
     envvar="HEMLOCKHALL_ENTRIES",
     multiple=True,
     required=True,
-    help="Administrative URL of an entry host; give each.",
+    help="Administrative URL of an entry host; repeat for each host.",
 )
-FILE = click.argument("path", type=click.Path(exists=True, path_type=Path))
+FILE_ARGUMENT = click.argument("path", type=click.Path(exists=True, path_type=Path))
 
 
 @click.group()
 def main() -> None:
-    """Edit, submit and watch the document of hemlockhall."""
+    """Edit, submit and watch the hemlockhall document."""
 
 
 @main.command()
-@FILE
+@FILE_ARGUMENT
 def check(path: Path) -> None:
-    """Check a document without submitting it."""
+    """Validate a document without submitting it."""
     try:
         text = path.read_text()
         split(text)
@@ -65,18 +65,18 @@
 
 
 @main.command()
-@FILE
-@TABLE
-@OBJECTS
-@click.option("--base", type=int, help="Version that the text was edited from.")
-@click.option("--who", default=getpass.getuser, help="Who submits.")
-@click.option("--revision", default="", help="Your own version control's revision.")
+@FILE_ARGUMENT
+@TABLE_OPTION
+@OBJECTS_OPTION
+@click.option("--base", type=int, help="Version that the document was edited from.")
+@click.option("--who", default=getpass.getuser, help="Name of the submitter.")
+@click.option("--revision", default="", help="Revision in your own version control.")
 @click.option(
     "--entry",
     "entries",
     envvar="HEMLOCKHALL_ENTRIES",
     multiple=True,
-    help="Administrative URL of an entry host to tell at once; may be repeated.",
+    help="Administrative URL of an entry host to notify; may be repeated.",
 )
 def submit(
     path: Path,
@@ -87,58 +87,62 @@
     revision: str,
     entries: tuple[str, ...],
 ) -> None:
-    """Make the document in PATH the accepted one."""
+    """Submit the document in PATH."""
     text = path.read_text()
     if base is None:
-        base = _base(text)
+        base = _base_version(text)
 
     async def run(repository: Repository) -> Accepted:
         return await repository.submit(text, base, who, revision)
 
     accepted = _with_repository(table, objects, run)
-    _tell(entries, accepted, split(text))
+    _notify_entry_hosts(entries, accepted, split(text))
     names = ", ".join(accepted.changed) or "nothing"
     click.echo(f"version {accepted.version} accepted; changed: {names}")
 
 
 @main.command()
-@TABLE
-@OBJECTS
-@click.option("--version", type=int, help="A version of the history.")
+@TABLE_OPTION
+@OBJECTS_OPTION
+@click.option("--version", type=int, help="Version to print; default: the newest.")
 def show(table: str, objects: str, version: int | None) -> None:
-    """Print the accepted document, to edit and submit."""
+    """Print an accepted document, to edit and submit."""
 
     async def run(repository: Repository) -> str:
-        return await _text(repository, version)
+        return await _document_text(repository, version)
 
     click.echo(_with_repository(table, objects, run), nl=False)
 
 
 @main.command()
-@FILE
-@TABLE
-@OBJECTS
+@FILE_ARGUMENT
+@TABLE_OPTION
+@OBJECTS_OPTION
 def diff(path: Path, table: str, objects: str) -> None:
-    """Show what submitting PATH would change."""
+    """Show what submitting PATH would change in the accepted document."""
 
     async def run(repository: Repository) -> str:
-        return await _text(repository, None)
+        return await _document_text(repository, None)
 
-    accepted = _strip_base(_with_repository(table, objects, run))
-    mine = join(split(path.read_text()))
+    accepted = _strip_base_version(_with_repository(table, objects, run))
+    local_text = join(split(path.read_text()))
     lines = difflib.unified_diff(
-        accepted.splitlines(), mine.splitlines(), "accepted", str(path), lineterm=""
+        accepted.splitlines(),
+        local_text.splitlines(),
+        "accepted",
+        str(path),
+        lineterm="",
     )
     for line in lines:
         click.echo(line)
 
 
 @main.command()
-@TABLE
-@OBJECTS
+@TABLE_OPTION
+@OBJECTS_OPTION
 @click.option("--limit", default=20, show_default=True)
 def history(table: str, objects: str, limit: int) -> None:
-    """List the newest versions: when, who, and their own revision."""
+    """List the newest versions with time, submitter and own revision."""
 
     async def run(repository: Repository) -> list[Revision]:
         return await repository.history(limit)
@@ -149,43 +153,45 @@
 
 
 @main.command()
-@ENTRIES
-@click.option("--count", default=0, help="End after so many rounds; 0: never.")
+@ENTRIES_OPTION
+@click.option("--count", default=0, help="Number of updates; 0: no limit.")
 def watch(entries: tuple[str, ...], count: int) -> None:
-    """Show which version is in force at each process, again and again."""
-    rounds = 0
+    """Print the version in force at each process at regular intervals."""
+    updates = 0
     while True:
-        click.echo(_versions(entries))
-        rounds += 1
-        if rounds == count:
+        click.echo(_version_line(entries))
+        updates += 1
+        if updates == count:
             return
-        time.sleep(WATCH_INTERVAL)
+        time.sleep(WATCH_INTERVAL_S)
 
 
 @main.command()
-@ENTRIES
+@ENTRIES_OPTION
 def status(entries: tuple[str, ...]) -> None:
-    """Show each entry host: its endpoints, requests and counters."""
+    """Show the peers, requests and counters of each entry host."""
     for url in entries:
-        found = _status(url)
-        if found is None:
+        process_status = _read_status(url)
+        if process_status is None:
             click.echo(f"{url}: no answer")
             continue
         head = "{name} ({data_centre}): version {version}, {state}, "
-        click.echo(head.format(**found) + f"{found['in_flight']} in flight")
-        for peer in found["peers"]:
+        click.echo(
+            head.format(**process_status) + f"{process_status['in_flight']} in flight"
+        )
+        for peer in process_status["peers"]:
             alive = "alive" if peer["alive"] else "dead"
             line = "  {name}: version {version}, {state}, load {load}, "
             click.echo(line.format(**peer) + alive)
-        for name, value in sorted(found["counters"].items()):
+        for name, value in sorted(process_status["counters"].items()):
             click.echo(f"  {name} {value:g}")
 
 
 @main.command()
 @click.argument("name")
-@ENTRIES
+@ENTRIES_OPTION
 def drain(name: str, entries: tuple[str, ...]) -> None:
-    """Let an endpoint or an entry host finish its requests and end."""
+    """Let an endpoint or an entry host finish its requests and stop."""
     reached = 0
     for url in entries:
         try:
@@ -201,38 +207,43 @@
     click.echo(f"{name} is draining")
 
 
-def _tell(entries: tuple[str, ...], accepted: Accepted, texts: dict[str, str]) -> None:
-    """Bring an accepted version to the entry hosts.
+def _notify_entry_hosts(
+    entries: tuple[str, ...], accepted: Accepted, texts: dict[str, str]
+) -> None:
+    """Send an accepted document to the entry hosts.
 
-    They poll the table service for it as well; when that goes down right
-    after the acceptance, this is the only way they learn of the version.
+    They also poll the table service for it, but would not get the version if
+    that service failed right after the acceptance.
     """
-    refs = [SectionRef(name, found) for name, found in accepted.digests.items()]
+    refs = [
+        SectionRef(name, section_digest)
+        for name, section_digest in accepted.digests.items()
+    ]
     sections = [SectionText(n, digest(t), t) for n, t in texts.items()]
-    offer = msgspec.json.encode(DocumentText(accepted.version, refs, sections))
+    body = msgspec.json.encode(DocumentText(accepted.version, refs, sections))
     for url in entries:
         try:
-            httpx.post(f"{url}/document", content=offer, timeout=TELL_TIMEOUT)
+            httpx.post(f"{url}/document", content=body, timeout=NOTIFY_TIMEOUT_S)
         except httpx.HTTPError as exc:
             click.echo(f"{url}: not told: {exc}", err=True)
 
 
-def _base(text: str) -> int:
-    found = BASE_PATTERN.search(text)
-    return int(found.group(1)) if found else 0
+def _base_version(text: str) -> int:
+    match = BASE_VERSION_PATTERN.search(text)
+    return int(match.group(1)) if match else 0
 
 
-def _strip_base(text: str) -> str:
-    return BASE_PATTERN.sub("", text, count=1).lstrip("\n")
+def _strip_base_version(text: str) -> str:
+    return BASE_VERSION_PATTERN.sub("", text, count=1).lstrip("\n")
 
 
-async def _text(repository: Repository, version: int | None) -> str:
+async def _document_text(repository: Repository, version: int | None) -> str:
     if version is None:
         revision = await repository.head()
     else:
         revision = await repository.revision(version)
     sections = await repository.sections(revision.digests)
-    return BASE_LINE.format(revision.version) + "\n\n" + join(sections)
+    return BASE_VERSION_LINE.format(revision.version) + "\n\n" + join(sections)
 
 
 def _with_repository(
@@ -252,26 +263,26 @@
         raise click.ClickException(str(exc)) from exc
 
 
-def _status(url: str) -> dict[str, Any] | None:
+def _read_status(url: str) -> dict[str, Any] | None:
     try:
         return httpx.get(f"{url}/status").json()
     except httpx.HTTPError:
         return None
 
 
-def _versions(entries: tuple[str, ...]) -> str:
-    seen: dict[str, str] = {}
+def _version_line(entries: tuple[str, ...]) -> str:
+    versions: dict[str, str] = {}
     for url in entries:
-        found = _status(url)
-        if found is None:
-            seen[url] = "no answer"
+        process_status = _read_status(url)
+        if process_status is None:
+            versions[url] = "no answer"
             continue
-        seen[found["name"]] = str(found["version"])
-        for peer in found["peers"]:
-            seen.setdefault(
+        versions[process_status["name"]] = str(process_status["version"])
+        for peer in process_status["peers"]:
+            versions.setdefault(
                 peer["name"], str(peer["version"]) if peer["alive"] else "dead"
             )
-    return "  ".join(f"{name}={version}" for name, version in sorted(seen.items()))
+    return "  ".join(f"{name}={version}" for name, version in sorted(versions.items()))
 
 
 if __name__ == "__main__":
--- a/packages/daemon/src/hemlockhalld/process/admin.py
+++ b/packages/daemon/src/hemlockhalld/process/admin.py
@@ -1,4 +1,4 @@
-"""The administrative HTTP interface that each process has."""
+"""Administrative HTTP interface of each process."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class PeerStatus(msgspec.Struct):
-    """A peer as this process sees it."""
+    """State of a peer, as known to this process; ``load`` in requests."""
 
     name: str
     version: int
@@ -27,7 +27,7 @@
 
 
 class Status(msgspec.Struct):
-    """What ``/status`` shows."""
+    """Body of the response to ``/status``."""
 
     name: str
     role: str
@@ -39,20 +39,20 @@
     counters: dict[str, float]
 
 
-class Administered(Protocol):
-    """What the administrative interface needs of its process."""
+class ManagedProcess(Protocol):
+    """Operations of a process that its administrative interface calls."""
 
-    def not_ready(self) -> str:
-        """Return why no requests are taken, or an empty text."""
+    def not_ready_reason(self) -> str:
+        """Return why the process takes no requests; empty if it is ready."""
 
     def status(self) -> Status:
-        """Return what ``/status`` shows."""
+        """Return the state that ``/status`` reports."""
 
     def drain(self, name: str) -> bool:
-        """Drain this process or an endpoint; return whether it is known."""
+        """Drain this process or an endpoint; return False for an unknown name."""
 
-    def offer(self, document: DocumentText) -> None:
-        """Adopt an accepted version, if it is higher."""
+    def offer_document(self, document: DocumentText) -> None:
+        """Adopt an accepted document if its version is higher."""
 
 
 class Admin:
@@ -61,43 +61,45 @@
     Parameters
     ----------
     metrics : Metrics
-        Counters to export.
-    process : Administered
-        The process that this is the interface of.
+        Exported by ``/metrics``.
+    process : ManagedProcess
+        The process to report on and to drain.
     """
 
-    def __init__(self, metrics: Metrics, process: Administered) -> None:
+    def __init__(self, metrics: Metrics, process: ManagedProcess) -> None:
         self._metrics = metrics
         self._process = process
 
     async def __call__(self, scope: Scope, receive: Any, send: Any) -> None:
-        """Answer one request."""
+        """Serve one request."""
         if scope["type"] == "lifespan":
-            await lifespan(receive, send)
+            await handle_lifespan(receive, send)
             return
         method, path = scope["method"], scope["path"]
         if path == "/livez":
-            await respond(send, 200, b"alive\n")
+            await send_response(send, 200, b"alive\n")
         elif path == "/readyz":
-            why = self._process.not_ready()
-            await respond(send, 503 if why else 200, (why or "ready").encode())
+            reason = self._process.not_ready_reason()
+            await send_response(
+                send, 503 if reason else 200, (reason or "ready").encode()
+            )
         elif path == "/metrics":
-            await respond(
+            await send_response(
                 send, 200, self._metrics.render(), "text/plain; version=0.0.4"
             )
         elif path == "/status":
             body = msgspec.json.encode(self._process.status())
-            await respond(send, 200, body, "application/json")
+            await send_response(send, 200, body, "application/json")
         elif method == "POST" and path.startswith("/drain/"):
             known = self._process.drain(path.removeprefix("/drain/"))
             text = b"draining\n" if known else b"no such endpoint in the document\n"
-            await respond(send, 202 if known else 404, text)
+            await send_response(send, 202 if known else 404, text)
         elif method == "POST" and path == "/document":
-            await self._document(receive, send)
+            await self._receive_document(receive, send)
         else:
-            await respond(send, 404, b"no such path\n")
+            await send_response(send, 404, b"no such path\n")
 
-    async def _document(self, receive: Any, send: Any) -> None:
+    async def _receive_document(self, receive: Any, send: Any) -> None:
         body = b""
         more = True
         while more:
@@ -105,16 +107,16 @@
             body += event.get("body", b"")
             more = event.get("more_body", False)
         try:
-            offer = msgspec.json.decode(body, type=DocumentText)
+            document = msgspec.json.decode(body, type=DocumentText)
         except msgspec.MsgspecError as exc:
-            await respond(send, 400, f"not a document: {exc}\n".encode())
+            await send_response(send, 400, f"not a document: {exc}\n".encode())
             return
-        self._process.offer(offer)
-        await respond(send, 202, b"taken\n")
+        self._process.offer_document(document)
+        await send_response(send, 202, b"taken\n")
 
 
-async def lifespan(receive: Any, send: Any) -> None:
-    """Answer the server's start and stop events."""
+async def handle_lifespan(receive: Any, send: Any) -> None:
+    """Acknowledge the startup and shutdown events of the ASGI server."""
     while True:
         event = await receive()
         await send({"type": f"{event['type']}.complete"})
@@ -122,14 +124,14 @@
             return
 
 
-async def respond(
+async def send_response(
     send: Any,
     status: int,
     body: bytes,
     content_type: str = "text/plain",
     headers: tuple[tuple[bytes, bytes], ...] = (),
 ) -> None:
-    """Send a whole answer."""
+    """Send a complete response."""
     await send(
         {
             "type": "http.response.start",
@@ -140,26 +142,28 @@
     await send({"type": "http.response.body", "body": body})
 
 
-async def serve_http(app: Any, address: str, graceful: float, stop: Any) -> None:
-    """Serve an ASGI application until ``stop`` returns.
+async def serve_http(
+    app: Any, address: str, graceful_timeout_s: float, stop: Any
+) -> None:
+    """Serve an ASGI application over HTTP until ``stop`` returns.
 
     Parameters
     ----------
     app : callable
-        The application.
+        The ASGI application.
     address : str
         ``IP:port`` to listen on.
-    graceful : float
-        Seconds that requests in progress get after the stop.
+    graceful_timeout_s : float
+        Seconds that requests in progress may take after the stop.
     stop : callable
-        Awaited; serving ends when it returns.
+        Coroutine function; serving ends when it returns.
     """
     cfg = Config()
     cfg.bind = [address]
     cfg.accesslog = None
     cfg.errorlog = None
-    cfg.graceful_timeout = graceful
-    cfg.shutdown_timeout = graceful
+    cfg.graceful_timeout = graceful_timeout_s
+    cfg.shutdown_timeout = graceful_timeout_s
     cfg.keep_alive_max_requests = 1_000_000_000
     cfg.include_server_header = False
     await serve(app, cfg, shutdown_trigger=stop)
@@ -169,7 +173,7 @@
     "Admin",
     "PeerStatus",
     "Status",
-    "lifespan",
-    "respond",
+    "handle_lifespan",
+    "send_response",
     "serve_http",
 ]
--- a/packages/daemon/src/hemlockhalld/process/base.py
+++ b/packages/daemon/src/hemlockhalld/process/base.py
@@ -1,4 +1,4 @@
-"""What entry hosts and side processes have in common."""
+"""Base class of entry hosts and side processes."""
 
 from __future__ import annotations
 
@@ -25,86 +25,90 @@
 ACTIVE = "active"
 LEAVING = "leaving"
 FAILING = "failing"
-ADMIN_GRACE = 0.5
-LEAVE_POLL = 0.05
+ADMIN_SHUTDOWN_TIMEOUT_S = 0.5
+FINISH_POLL_INTERVAL_S = 0.05
 
 
 class Process(Handler):
-    """A process with a link, a document, an administrative interface.
+    """A process with a link to its peers, a document and an admin interface.
 
     Parameters
     ----------
     settings : Settings
-        Checked settings.
+        Validated settings.
     role : str
         ``entry`` or ``side``.
-    wanted : tuple of str
+    section_names : tuple of str
         Sections of the document that this role needs.
     """
 
-    def __init__(self, settings: Settings, role: str, wanted: tuple[str, ...]) -> None:
+    def __init__(
+        self, settings: Settings, role: str, section_names: tuple[str, ...]
+    ) -> None:
         self.settings = settings
         self.role = role
         self.metrics = Metrics()
         self.leaving = False
-        self.document_cache = DocumentCache(wanted, self.metrics, self.adopted)
-        section = settings.link
+        self.document_cache = DocumentCache(
+            section_names, self.metrics, self.on_document_adopted
+        )
+        cfg = settings.link
         timing = Timing(
-            section.heartbeat_s,
-            section.idle_s,
-            section.renew_s,
-            section.dead_s,
-            section.refused_s,
+            cfg.heartbeat_s,
+            cfg.idle_s,
+            cfg.renew_s,
+            cfg.dead_s,
+            cfg.refused_s,
         )
-        address = section.advertise or section.address
+        address = cfg.advertise or cfg.address
         name = settings.process.name
-        self.link = Link(name, section.address, address, self, self.metrics, timing)
-        self.group: anyio.abc.TaskGroup | None = None
-        self.servers: anyio.abc.TaskGroup | None = None
-        self.ended = anyio.Event()
-        self._leave = anyio.Event()
+        self.link = Link(name, cfg.address, address, self, self.metrics, timing)
+        self.task_group: anyio.abc.TaskGroup | None = None
+        self.server_group: anyio.abc.TaskGroup | None = None
+        self.stopped = anyio.Event()
+        self._leave_event = anyio.Event()
 
     @abstractmethod
     def in_flight(self) -> int:
         """Return the number of requests in progress."""
 
     @abstractmethod
-    async def work(self) -> None:
-        """Start what the role does; the tasks run in ``group``."""
+    async def start_tasks(self) -> None:
+        """Start the tasks of the role in ``task_group``."""
 
     @abstractmethod
     def admin_address(self) -> str:
-        """Return where the administrative interface listens."""
+        """Return the listen address of the administrative interface, ``IP:port``."""
 
-    def adopted(self) -> None:
-        """Act on a new version of the document."""
+    def on_document_adopted(self) -> None:
+        """Handle a newly adopted version of the document."""
 
-    def not_ready(self) -> str:
-        """Return why no requests are taken, or an empty text."""
+    def not_ready_reason(self) -> str:
+        """Return why the process takes no requests; empty if it is ready."""
         if self.leaving:
             return "leaving"
         return "" if self.document_cache.version else "no version of the document yet"
 
-    async def finish(self) -> None:
+    async def wait_finished(self) -> None:
         """Wait until the requests in progress have ended."""
         while self.in_flight():
-            await anyio.sleep(LEAVE_POLL)
+            await anyio.sleep(FINISH_POLL_INTERVAL_S)
 
-    def offer(self, document: DocumentText) -> None:
-        """Adopt an accepted version that an operator's command brings."""
+    def offer_document(self, document: DocumentText) -> None:
+        """Adopt a document that was posted to the admin interface, if it is newer."""
         self.document_cache.apply_response(document)
 
     def drain(self, name: str) -> bool:
-        """Act on an order to drain ``name``."""
+        """Drain this process if ``name`` is its own; return whether it is known."""
         if name != self.link.name:
             return False
         self.leave()
         return True
 
     def leave(self) -> None:
-        """Take no new work, and end when the present work has."""
+        """Take no new requests, and stop when those in progress have ended."""
         self.leaving = True
-        self._leave.set()
+        self._leave_event.set()
         self.link.announce()
 
     def version(self) -> int:
@@ -112,7 +116,7 @@
         return self.document_cache.version
 
     def state(self) -> str:
-        """Return what the peers are told."""
+        """Return the state that is announced to the peers."""
         return LEAVING if self.leaving else ACTIVE
 
     def load(self) -> int:
@@ -120,11 +124,11 @@
         return self.in_flight()
 
     def on_version(self, peer: Peer, version: int) -> None:
-        """Fetch a higher version from the peer that has it."""
+        """Request the document from a peer that has a higher version."""
         self.document_cache.request_if_newer(peer, version)
 
-    def take_document(self, peer: Peer, message: AnyMessage) -> bool:
-        """Act on messages about the document; return whether it was one."""
+    def handle_document_message(self, peer: Peer, message: AnyMessage) -> bool:
+        """Handle a message about the document; return False for any other."""
         if isinstance(message, DocumentRequest):
             if self.document_cache.version:
                 peer.post(self.document_cache.make_response(message))
@@ -135,7 +139,7 @@
         return False
 
     def status(self) -> Status:
-        """Return what ``/status`` shows."""
+        """Return the state that ``/status`` reports."""
         peers = []
         for peer in self.link.peers.values():
             peers.append(
@@ -155,8 +159,8 @@
     async def run(self) -> None:
         """Run until drained, or stopped by a second SIGTERM."""
         async with anyio.create_task_group() as group:
-            self.group = group
-            group.start_soon(self._signals)
+            self.task_group = group
+            group.start_soon(self._handle_signals)
             await group.start(self.link.run)
             for seed in self.settings.seeds:
                 self.link.peer(seed.name, seed.address)
@@ -166,18 +170,20 @@
             group.cancel_scope.cancel()
 
     async def _serve(self, servers: anyio.abc.TaskGroup) -> None:
-        """Serve until drained; servers end by their own event, in order."""
-        self.servers = servers
+        """Run the servers until drained; they shut down when ``stopped`` is set."""
+        self.server_group = servers
         app = Admin(self.metrics, self)
         address = self.admin_address()
-        servers.start_soon(serve_http, app, address, ADMIN_GRACE, self.ended.wait)
-        await self.work()
+        servers.start_soon(
+            serve_http, app, address, ADMIN_SHUTDOWN_TIMEOUT_S, self.stopped.wait
+        )
+        await self.start_tasks()
         logger.info("{} is up", self.link.name)
-        await self._leave.wait()
-        await self.finish()
-        self.ended.set()
+        await self._leave_event.wait()
+        await self.wait_finished()
+        self.stopped.set()
 
-    async def _signals(self) -> None:
+    async def _handle_signals(self) -> None:
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as received:
             async for _ in received:
                 if self.leaving:
--- a/packages/daemon/src/hemlockhalld/process/chooser.py
+++ b/packages/daemon/src/hemlockhalld/process/chooser.py
@@ -1,4 +1,4 @@
-"""Choice of a pipeline, and of an endpoint of a plain service."""
+"""Choice of a pipeline for a model and of an endpoint for a plain service."""
 
 from __future__ import annotations
 
@@ -12,16 +12,17 @@
 
     from hemlockhall_core.version.document import Endpoint
 
-LINK_COST = 4.0
-JITTER = 0.05
+CROSS_DATA_CENTRE_COST = 4.0
+COST_JITTER = 0.05
 
 
 @dataclass(frozen=True)
 class Candidate:
-    """An endpoint that takes work.
+    """An endpoint that takes requests.
 
-    ``in_flight`` counts this entry host's own requests there, ``load`` all
-    that the side process told of, some time ago.
+    ``in_flight`` counts the requests of this entry host at the endpoint.
+    ``load`` is the number of all requests there that its side process last
+    reported, so it lags.
     """
 
     endpoint: Endpoint
@@ -29,156 +30,167 @@
     load: int
 
     @property
-    def busy(self) -> int:
-        """Requests there, as far as is known."""
+    def estimated_load(self) -> int:
+        """Estimated number of requests at the endpoint."""
         return max(self.in_flight, self.load)
 
 
 class Chooser(ABC):
-    """Chooses chains whose layer ranges cover a model once, in order.
+    """Chooses pipelines whose layer ranges cover a model once, in order.
 
     Parameters
     ----------
     data_centre : str
-        Where the choosing entry host is.
+        Data centre of this entry host.
     """
 
     def __init__(self, data_centre: str) -> None:
         self.data_centre = data_centre
 
     @abstractmethod
-    def chain(self, layers: int, candidates: list[Candidate]) -> list[Endpoint]:
-        """Return a chain over layers 0 up to ``layers``; empty if none."""
+    def choose_pipeline(
+        self, layers: int, candidates: list[Candidate]
+    ) -> list[Endpoint]:
+        """Return a pipeline for layers 0 to ``layers`` (exclusive); empty if none."""
 
     @abstractmethod
-    def one(self, candidates: list[Candidate]) -> Endpoint | None:
-        """Return an endpoint of a plain service."""
+    def choose_endpoint(self, candidates: list[Candidate]) -> Endpoint | None:
+        """Return an endpoint of a plain service, or None if there is none."""
 
 
 CHOOSERS: dict[str, type[Chooser]] = {}
 
 
-def chooser(name: str) -> Callable[[type[Chooser]], type[Chooser]]:
-    """Register a chooser under the name that settings use."""
+def register_chooser(name: str) -> Callable[[type[Chooser]], type[Chooser]]:
+    """Register a chooser under its name in the settings."""
 
-    def register(kind: type[Chooser]) -> type[Chooser]:
-        CHOOSERS[name] = kind
-        return kind
+    def register(chooser_type: type[Chooser]) -> type[Chooser]:
+        CHOOSERS[name] = chooser_type
+        return chooser_type
 
     return register
 
 
-@chooser("weighted")
+@register_chooser("weighted")
 class WeightedChooser(Chooser):
-    """The chain of least cost: work before it by speed, and links between."""
+    """Chooses by least cost: queued work by speed, and data centre changes."""
 
-    def chain(self, layers: int, candidates: list[Candidate]) -> list[Endpoint]:
-        """Return the chain of least cost, by a pass over rising layers."""
+    def choose_pipeline(
+        self, layers: int, candidates: list[Candidate]
+    ) -> list[Endpoint]:
+        """Return the cheapest pipeline, as a shortest path over rising layers."""
         best: dict[str, tuple[float, Candidate | None]] = {}
         ordered = sorted(candidates, key=lambda c: c.endpoint.first_layer)
         for index, candidate in enumerate(ordered):
-            before = self._before(candidate, ordered[:index], best)
-            if before is not None:
-                cost, previous = before
-                best[candidate.endpoint.name] = (cost + _work(candidate), previous)
-        ends = []
+            predecessor = self._best_predecessor(candidate, ordered[:index], best)
+            if predecessor is not None:
+                cost, previous = predecessor
+                best[candidate.endpoint.name] = (
+                    cost + _queue_cost(candidate),
+                    previous,
+                )
+        last_stages = []
         for candidate in ordered:
             if (
                 candidate.endpoint.end_layer == layers
                 and candidate.endpoint.name in best
             ):
-                ends.append(candidate)
-        if not ends:
+                last_stages.append(candidate)
+        if not last_stages:
             return []
-        end = min(ends, key=lambda c: best[c.endpoint.name][0])
-        return _trace(end, best)
+        last_stage = min(last_stages, key=lambda c: best[c.endpoint.name][0])
+        return _backtrack(last_stage, best)
 
-    def _before(
+    def _best_predecessor(
         self,
         candidate: Candidate,
         earlier: list[Candidate],
         best: dict[str, tuple[float, Candidate | None]],
     ) -> tuple[float, Candidate | None] | None:
-        here = candidate.endpoint
-        if here.first_layer == 0:
-            return self._link(self.data_centre, here.data_centre), None
-        found: tuple[float, Candidate | None] | None = None
-        for other in earlier:
-            there = other.endpoint
-            if there.end_layer != here.first_layer or there.name not in best:
+        endpoint = candidate.endpoint
+        if endpoint.first_layer == 0:
+            return self._transfer_cost(self.data_centre, endpoint.data_centre), None
+        cheapest: tuple[float, Candidate | None] | None = None
+        for other_candidate in earlier:
+            previous = other_candidate.endpoint
+            if previous.end_layer != endpoint.first_layer or previous.name not in best:
                 continue
-            cost = best[there.name][0]
-            cost += self._link(there.data_centre, here.data_centre)
-            if found is None or cost < found[0]:
-                found = (cost, other)
-        return found
-
-    def one(self, candidates: list[Candidate]) -> Endpoint | None:
-        """Return the endpoint with the least work before it."""
+            cost = best[previous.name][0]
+            cost += self._transfer_cost(previous.data_centre, endpoint.data_centre)
+            if cheapest is None or cost < cheapest[0]:
+                cheapest = (cost, other_candidate)
+        return cheapest
+
+    def choose_endpoint(self, candidates: list[Candidate]) -> Endpoint | None:
+        """Return the endpoint of least cost."""
         if not candidates:
             return None
-        return min(candidates, key=self._cost_one).endpoint
+        return min(candidates, key=self._endpoint_cost).endpoint
 
-    def _cost_one(self, candidate: Candidate) -> float:
-        link = self._link(self.data_centre, candidate.endpoint.data_centre)
-        return link + _work(candidate)
+    def _endpoint_cost(self, candidate: Candidate) -> float:
+        link = self._transfer_cost(self.data_centre, candidate.endpoint.data_centre)
+        return link + _queue_cost(candidate)
 
     @staticmethod
-    def _link(here: str, there: str) -> float:
-        return 0.0 if here == there else LINK_COST
+    def _transfer_cost(from_data_centre: str, to_data_centre: str) -> float:
+        return 0.0 if from_data_centre == to_data_centre else CROSS_DATA_CENTRE_COST
 
 
-@chooser("round_robin")
+@register_chooser("round_robin")
 class RoundRobinChooser(Chooser):
-    """The baseline: chains in turn, whatever their load."""
+    """Baseline: takes the endpoints in turn, whatever their load."""
 
     def __init__(self, data_centre: str) -> None:
         super().__init__(data_centre)
-        self._turn = 0
-
-    def chain(self, layers: int, candidates: list[Candidate]) -> list[Endpoint]:
-        """Return the first chain found, beginning at another each time."""
-        self._turn += 1
-        chain: list[Endpoint] = []
-        reached = 0
-        while reached < layers:
-            fitting = [c for c in candidates if c.endpoint.first_layer == reached]
-            if not fitting:
+        self._call_count = 0
+
+    def choose_pipeline(
+        self, layers: int, candidates: list[Candidate]
+    ) -> list[Endpoint]:
+        """Return the first pipeline found, with another choice at each call."""
+        self._call_count += 1
+        pipeline: list[Endpoint] = []
+        covered_layers = 0
+        while covered_layers < layers:
+            matching = [
+                c for c in candidates if c.endpoint.first_layer == covered_layers
+            ]
+            if not matching:
                 return []
-            chain.append(fitting[self._turn % len(fitting)].endpoint)
-            reached = chain[-1].end_layer
-        return chain
+            pipeline.append(matching[self._call_count % len(matching)].endpoint)
+            covered_layers = pipeline[-1].end_layer
+        return pipeline
 
-    def one(self, candidates: list[Candidate]) -> Endpoint | None:
+    def choose_endpoint(self, candidates: list[Candidate]) -> Endpoint | None:
         """Return the endpoints in turn."""
         if not candidates:
             return None
-        self._turn += 1
-        return candidates[self._turn % len(candidates)].endpoint
+        self._call_count += 1
+        return candidates[self._call_count % len(candidates)].endpoint
 
 
-def _work(candidate: Candidate) -> float:
-    here = candidate.endpoint
-    span = max(1, here.end_layer - here.first_layer)
-    work = span * (1 + candidate.busy) / here.speed
-    return work * random.uniform(1 - JITTER, 1 + JITTER)
+def _queue_cost(candidate: Candidate) -> float:
+    endpoint = candidate.endpoint
+    layer_count = max(1, endpoint.end_layer - endpoint.first_layer)
+    cost = layer_count * (1 + candidate.estimated_load) / endpoint.speed
+    return cost * random.uniform(1 - COST_JITTER, 1 + COST_JITTER)
 
 
-def _trace(
-    end: Candidate, best: dict[str, tuple[float, Candidate | None]]
+def _backtrack(
+    last_stage: Candidate, best: dict[str, tuple[float, Candidate | None]]
 ) -> list[Endpoint]:
-    chain: list[Endpoint] = []
-    step: Candidate | None = end
-    while step is not None:
-        chain.append(step.endpoint)
-        step = best[step.endpoint.name][1]
-    chain.reverse()
-    return chain
+    pipeline: list[Endpoint] = []
+    candidate: Candidate | None = last_stage
+    while candidate is not None:
+        pipeline.append(candidate.endpoint)
+        candidate = best[candidate.endpoint.name][1]
+    pipeline.reverse()
+    return pipeline
 
 
 __all__ = [
     "CHOOSERS",
     "Candidate",
     "Chooser",
-    "chooser",
+    "register_chooser",
 ]
--- a/packages/daemon/src/hemlockhalld/process/engine.py
+++ b/packages/daemon/src/hemlockhalld/process/engine.py
@@ -1,4 +1,4 @@
-"""Client of a model engine, over its HTTP interface."""
+"""HTTP client of a model engine."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 
 class EngineError(Exception):
-    """The engine did not answer; its KV cache must be taken for lost."""
+    """The engine gave no valid response; its KV cache must be assumed lost."""
 
 
-class Item(msgspec.Struct, omit_defaults=True):
-    """Work for one request in a step: positions from ``position`` on.
+class StepItem(msgspec.Struct, omit_defaults=True):
+    """Input of one request in a step: the positions from ``position`` on.
 
-    The first stage gives ``text`` (the whole prompt) or ``tokens``, later
-    ones give ``activations``. With ``sample`` the engine samples a token
+    The first stage passes ``text`` (the whole prompt) or ``tokens``, later
+    stages pass ``activations``. With ``sample`` the engine samples a token
     after the last position.
     """
 
@@ -32,22 +32,22 @@
     activations: list[bytes] | msgspec.UnsetType = msgspec.UNSET
 
 
-class Steps(msgspec.Struct):
-    """One batch of work."""
+class StepBatch(msgspec.Struct):
+    """Body of a step: the batch of requests that it runs."""
 
-    items: list[Item]
+    items: list[StepItem]
 
 
-class Sampled(msgspec.Struct):
-    """A sampled token; ``finish`` is not empty on the last one."""
+class SampledToken(msgspec.Struct):
+    """A sampled token; ``finish`` is the finish reason of the last, else empty."""
 
     id: int
     text: str
     finish: str
 
 
-class Result(msgspec.Struct):
-    """What a step did for one request, or the error that kept it from it."""
+class StepResult(msgspec.Struct):
+    """Result of a step for one request; ``error`` is empty on success."""
 
     request: str
     attempt: int
@@ -55,51 +55,51 @@
     position: int = 0
     prompt_length: int = 0
     activations: list[bytes] = []
-    token: Sampled | None = None
+    token: SampledToken | None = None
 
 
-class Results(msgspec.Struct):
-    """Results of one batch."""
+class StepResults(msgspec.Struct):
+    """Body of the response to a step."""
 
-    results: list[Result]
+    results: list[StepResult]
 
 
-class Cancel(msgspec.Struct):
-    """Requests whose KV cache is not needed any more, or all there are."""
+class CancelRequest(msgspec.Struct):
+    """Requests whose KV cache can be freed; ``everything`` frees all."""
 
     requests: list[str]
     everything: bool = False
 
 
-class Engine:
-    """The model engine that a side process runs beside.
+class EngineClient:
+    """Client of the model engine next to this side process.
 
     Parameters
     ----------
     url : str
-        Where the engine listens.
-    timeout : float
-        Seconds after which a step is given up.
+        Base URL of the engine.
+    timeout_s : float
+        Timeout of each request in seconds.
     """
 
-    def __init__(self, url: str, timeout: float) -> None:
-        self._client = httpx.AsyncClient(base_url=url, timeout=timeout)
+    def __init__(self, url: str, timeout_s: float) -> None:
+        self._client = httpx.AsyncClient(base_url=url, timeout=timeout_s)
 
-    async def steps(self, items: list[Item]) -> list[Result]:
-        """Run a batch; raise :class:`EngineError` without an answer."""
-        data = await self._post("/v1/steps", msgspec.json.encode(Steps(items)))
+    async def run_steps(self, items: list[StepItem]) -> list[StepResult]:
+        """Run one batch; raise :class:`EngineError` without a valid response."""
+        data = await self._post("/v1/steps", msgspec.json.encode(StepBatch(items)))
         try:
-            return msgspec.json.decode(data, type=Results).results
+            return msgspec.json.decode(data, type=StepResults).results
         except msgspec.MsgspecError as exc:
-            raise EngineError(f"not an answer of an engine: {exc}") from exc
+            raise EngineError(f"invalid response from the engine: {exc}") from exc
 
     async def cancel(self, requests: list[str]) -> None:
-        """Free the slots of requests."""
-        await self._post("/v1/cancel", msgspec.json.encode(Cancel(requests)))
+        """Free the slots and the KV cache of requests."""
+        await self._post("/v1/cancel", msgspec.json.encode(CancelRequest(requests)))
 
     async def reset(self) -> None:
-        """Free all slots; raise :class:`EngineError` without an answer."""
-        cancel = Cancel([], everything=True)
+        """Free all slots; raise :class:`EngineError` without a valid response."""
+        cancel = CancelRequest([], everything=True)
         await self._post("/v1/cancel", msgspec.json.encode(cancel))
 
     async def aclose(self) -> None:
@@ -110,16 +110,16 @@
         try:
             response = await self._client.post(path, content=content)
         except httpx.HTTPError as exc:
-            raise EngineError(f"no answer from the engine: {exc!r}") from exc
+            raise EngineError(f"no response from the engine: {exc!r}") from exc
         if response.status_code != httpx.codes.OK:
-            raise EngineError(f"the engine answered {response.status_code}")
+            raise EngineError(f"status {response.status_code} from the engine")
         return response.content
 
 
 __all__ = [
-    "Engine",
+    "EngineClient",
     "EngineError",
-    "Item",
-    "Result",
-    "Sampled",
+    "SampledToken",
+    "StepItem",
+    "StepResult",
 ]
--- a/packages/daemon/src/hemlockhalld/process/limiter.py
+++ b/packages/daemon/src/hemlockhalld/process/limiter.py
@@ -1,4 +1,4 @@
-"""Limits of each customer, over all entry hosts without a coordinator."""
+"""Rate and concurrency limits of customers, without a coordinator."""
 
 from __future__ import annotations
 
@@ -14,59 +14,59 @@
 
     from hemlockhall_core.version.document import Customer
 
-CONCURRENCY_COME_BACK = 1.0
+CONCURRENCY_RETRY_AFTER_S = 1.0
 
 
 @dataclass
-class Use:
-    """What one customer uses here: tokens of its rate, open requests."""
+class CustomerUsage:
+    """Token bucket and open requests of one customer at this host."""
 
     tokens: float
-    at: float = field(default_factory=time.monotonic)
-    open: int = 0
+    updated_at: float = field(default_factory=time.monotonic)
+    open_requests: int = 0
 
 
 class Limiter:
-    """Gives each entry host an equal share of each customer's limits.
+    """Enforces this host's equal share of each customer's limits.
 
     Parameters
     ----------
-    hosts : callable
+    host_count : callable
         Returns the number of live entry hosts, this one included.
     """
 
-    def __init__(self, hosts: Callable[[], int]) -> None:
-        self._hosts = hosts
-        self._uses: dict[str, Use] = {}
+    def __init__(self, host_count: Callable[[], int]) -> None:
+        self._host_count = host_count
+        self._usages: dict[str, CustomerUsage] = {}
 
-    def enter(self, customer: Customer) -> None:
-        """Admit a request or raise :class:`Problem`; pair with ``leave``."""
-        hosts = max(1, self._hosts())
-        rate = customer.rate_per_s / hosts
-        burst = max(1.0, rate)
-        use = self._uses.setdefault(customer.name, Use(burst))
+    def admit(self, customer: Customer) -> None:
+        """Admit a request or raise :class:`Problem`; pair with ``release``."""
+        host_count = max(1, self._host_count())
+        rate_per_s = customer.rate_per_s / host_count
+        burst = max(1.0, rate_per_s)
+        usage = self._usages.setdefault(customer.name, CustomerUsage(burst))
         now = time.monotonic()
-        use.tokens = min(burst, use.tokens + (now - use.at) * rate)
-        use.at = now
-        if use.open >= max(1, customer.concurrency // hosts):
-            detail = f"{use.open} requests of {customer.name} are open here"
+        usage.tokens = min(burst, usage.tokens + (now - usage.updated_at) * rate_per_s)
+        usage.updated_at = now
+        if usage.open_requests >= max(1, customer.concurrency // host_count):
+            detail = f"{usage.open_requests} requests of {customer.name} are open here"
             raise Problem(
                 RefusalReason.CONCURRENCY_LIMITED,
                 detail,
-                retry_after=CONCURRENCY_COME_BACK,
+                retry_after=CONCURRENCY_RETRY_AFTER_S,
             )
-        if use.tokens < 1:
+        if usage.tokens < 1:
             detail = (
                 f"{customer.name} is over its {customer.rate_per_s} requests a second"
             )
-            wait = (1 - use.tokens) / rate
-            raise Problem(RefusalReason.RATE_LIMITED, detail, retry_after=wait)
-        use.tokens -= 1
-        use.open += 1
-
-    def leave(self, customer: Customer) -> None:
-        """Note the end of an admitted request."""
-        self._uses[customer.name].open -= 1
+            wait_s = (1 - usage.tokens) / rate_per_s
+            raise Problem(RefusalReason.RATE_LIMITED, detail, retry_after=wait_s)
+        usage.tokens -= 1
+        usage.open_requests += 1
+
+    def release(self, customer: Customer) -> None:
+        """Count the end of an admitted request."""
+        self._usages[customer.name].open_requests -= 1
 
 
 __all__ = [
