--- a/packages/core/src/hemlockhall_core/__init__.py
+++ b/packages/core/src/hemlockhall_core/__init__.py
@@ -1,3 +1,3 @@
-"""What the hemlockhall processes and the command line share."""
+"""Code shared by the daemon, the command line and the router."""
 
 from __future__ import annotations
--- a/packages/core/src/hemlockhall_core/connection/__init__.py
+++ b/packages/core/src/hemlockhall_core/connection/__init__.py
@@ -1,3 +1,3 @@
-"""What lives as long as a connection between two processes."""
+"""Message links between the processes of a deployment."""
 
 from __future__ import annotations
--- a/packages/core/src/hemlockhall_core/connection/error.py
+++ b/packages/core/src/hemlockhall_core/connection/error.py
@@ -1,22 +1,22 @@
-"""Errors of the connections between the system's processes."""
+"""Errors of the links between processes."""
 
 from __future__ import annotations
 
 
 class LinkError(Exception):
-    """A message could not be taken for sending."""
+    """Base of the errors of a link."""
 
 
-class FrameError(LinkError):
-    """Bytes from a peer are not a valid batch."""
+class BatchDecodeError(LinkError):
+    """Received bytes are not a valid batch."""
 
 
 class QueueFullError(LinkError):
-    """Too many messages wait for one peer."""
+    """The send queue of a peer is full."""
 
 
 __all__ = [
-    "FrameError",
+    "BatchDecodeError",
     "LinkError",
     "QueueFullError",
 ]
--- a/packages/core/src/hemlockhall_core/connection/link.py
+++ b/packages/core/src/hemlockhall_core/connection/link.py
@@ -1,4 +1,4 @@
-"""All connections of one process to the system's other processes."""
+"""The link of a process: its listening socket and its peers."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 import pynng
 from loguru import logger
 
-from hemlockhall_core.connection.error import FrameError, LinkError
-from hemlockhall_core.connection.message import MAX_FRAME_BYTES, Batch, decode
+from hemlockhall_core.connection.error import BatchDecodeError, LinkError
+from hemlockhall_core.connection.message import MAX_BATCH_BYTES, Batch, decode
 from hemlockhall_core.connection.peer import Peer, Timing
 
 if TYPE_CHECKING:
@@ -22,26 +22,26 @@
 
 
 class Handler(ABC):
-    """What a process does with what its link tells it."""
+    """Callbacks of a link, and the state that it reports to the peers."""
 
     @abstractmethod
     def on_message(self, peer: Peer, message: AnyMessage) -> None:
-        """Act on a message, which comes once and in the order of sending."""
+        """Handle a message; each is delivered at most once and in order."""
 
     @abstractmethod
     def on_lost(self, peer: Peer, *, restarted: bool) -> None:
-        """Give up what runs at a peer that is dead or began anew."""
+        """Abandon the work at a peer that is dead or has restarted."""
 
     @abstractmethod
     def on_version(self, peer: Peer, version: int) -> None:
-        """Note the version of the document that a peer has in force."""
+        """Handle the version of the document that a peer has in force."""
 
     def version(self) -> int:
         """Return the version of the document in force here."""
         return 0
 
     def state(self) -> str:
-        """Return ``active``, ``leaving`` or ``failing``."""
+        """Return the state of this process: ``active``, ``leaving`` or ``failing``."""
         return "active"
 
     def load(self) -> int:
@@ -59,9 +59,9 @@
     listen : str
         ``IP:port`` to listen on.
     address : str
-        ``IP:port`` that others reach this process at.
+        ``IP:port`` at which the peers reach this process.
     handler : Handler
-        Receives messages and the news of peers.
+        Receives messages and changes of peers.
     metrics : Metrics
         Counters of this process.
     timing : Timing
@@ -83,16 +83,16 @@
         self.boot = secrets.randbits(62) + 1
         self.timing = timing
         self.peers: dict[str, Peer] = {}
-        self._forgotten: dict[str, int] = {}
+        self._removed_boots: dict[str, int] = {}
         self._handler = handler
         self._metrics = metrics
         self._group: anyio.abc.TaskGroup | None = None
         self._sock: pynng.Pull0 | None = None
 
     async def run(self, *, task_status: anyio.abc.TaskStatus[None]) -> None:
-        """Receive until cancelled; raise :class:`LinkError` on a taken address."""
+        """Receive until cancelled; raise :class:`LinkError` if listening fails."""
         try:
-            self._sock = pynng.Pull0(recv_max_size=MAX_FRAME_BYTES)
+            self._sock = pynng.Pull0(recv_max_size=MAX_BATCH_BYTES)
             self._sock.listen(f"tcp://{self._listen}")
         except pynng.NNGException as exc:
             msg = (
@@ -114,93 +114,93 @@
             self._metrics.received(len(data))
             try:
                 batch = decode(data)
-            except FrameError as exc:
-                # A hostile or truncated frame must not end the process: it
-                # is counted and dropped, and numbering shows the sender.
+            except BatchDecodeError as exc:
+                # A malformed or truncated batch must not end the process. The
+                # sender sends it again, as it is not acknowledged.
                 self._metrics.batch("malformed")
-                logger.warning("dropped a frame: {}", exc)
+                logger.warning("dropped a malformed batch: {}", exc)
                 continue
-            self._take(batch)
+            self._handle_batch(batch)
 
-    def _take(self, batch: Batch) -> None:
+    def _handle_batch(self, batch: Batch) -> None:
         if not batch.sender or not is_address(batch.address):
             self._metrics.batch("malformed")
             return
         peer = self.peer(batch.sender, batch.address)
-        fresh = peer.heard(batch)
+        fresh = peer.receive(batch)
         self._handler.on_version(peer, batch.version)
         if not fresh:
             return
         for message in batch.messages:
             try:
                 self._handler.on_message(peer, message)
-            except Exception:  # noqa: BLE001 - one bad message, not the process
+            except Exception:  # noqa: BLE001 - a bad message must not end the process
                 self._metrics.batch("rejected")
-                logger.exception("a message of {} could not be used", peer.name)
+                logger.exception("handling a message of peer {} failed", peer.name)
 
     def peer(self, name: str, address: str) -> Peer:
-        """Return the peer of that name, connecting to it if it is new."""
+        """Return the peer ``name``, connecting to it if it is new."""
         peer = self.peers.get(name)
         if peer is not None:
             if not peer.alive and peer.address != address:
-                peer.move(address)
+                peer.change_address(address)
             return peer
         peer = Peer(
-            name, address, self, asyncio.get_running_loop(), self._boot_for(name)
+            name, address, self, asyncio.get_running_loop(), self._own_boot_for(name)
         )
         self.peers[name] = peer
         assert self._group is not None
         self._group.start_soon(peer.run)
         return peer
 
-    def _boot_for(self, name: str) -> int:
-        """Return what names this end towards a peer.
+    def _own_boot_for(self, name: str) -> int:
+        """Return the boot id under which this process addresses a peer.
 
-        A peer that was forgotten here still counts on from the numbers of
-        before. Under the same name of this end it would drop what is sent to
-        it as repeats, and its own messages would be behind a gap. With another
-        name it begins anew, as it does after a restart.
+        A removed peer keeps its sequence numbers. If it were contacted again
+        under the same boot id, it would drop new batches as repeats, and its own
+        batches would be behind a gap. A higher boot id makes it reset the
+        numbers, as after a restart.
         """
-        if name in self._forgotten:
-            return self._forgotten[name] + 1
+        if name in self._removed_boots:
+            return self._removed_boots[name] + 1
         return self.boot
 
     def remove_peer(self, name: str) -> None:
-        """Close the connection to a peer that is not needed any more."""
+        """Close the connection to a peer and drop it."""
         peer = self.peers.pop(name, None)
         if peer is not None:
-            self._forgotten[name] = peer.own_boot
+            self._removed_boots[name] = peer.own_boot
             peer.close()
 
     def announce(self) -> None:
-        """Let each peer hear a changed state or version at once."""
+        """Send a changed state or version to all peers at once."""
         for peer in self.peers.values():
             peer.announce()
 
-    def stamp(
-        self, peer: Peer, seq: int, messages: list[AnyMessage], *, renew: bool
+    def make_batch(
+        self, peer: Peer, seq: int, messages: list[AnyMessage], *, reconnect: bool
     ) -> Batch:
-        """Return a batch for a peer with this process's present header."""
+        """Return a batch for a peer with the current header of this process."""
         return Batch(
             self.name,
             self.address,
             peer.own_boot,
             peer.boot,
             seq,
-            peer.received,
+            peer.last_received_seq,
             self._handler.version(),
             self._handler.state(),
             self._handler.load(),
-            renew,
+            reconnect,
             messages,
         )
 
     def peer_lost(self, peer: Peer, *, restarted: bool) -> None:
-        """Pass on that a peer is dead or began anew."""
+        """Tell the handler that a peer is dead or has restarted."""
         self._handler.on_lost(peer, restarted=restarted)
 
     def count_batch(self, kind: str) -> None:
-        """Count a batch that was not taken as usual."""
+        """Count a batch that was dropped, or a renewed connection."""
         self._metrics.batch(kind)
 
     def count_sent(self, size: int) -> None:
--- a/packages/core/src/hemlockhall_core/connection/message.py
+++ b/packages/core/src/hemlockhall_core/connection/message.py
@@ -1,7 +1,9 @@
-"""The messages between the system's own processes, and their encoding.
+"""Messages between processes and their MessagePack encoding.
 
-A peer receives one :class:`Batch` at a time: a header that every batch
-carries, and any number of messages. The encoding is MessagePack.
+The unit of transfer is a :class:`Batch`: a header and any number of messages.
+Structs are encoded as arrays, so the order of fields is part of the protocol
+while their names are not. A message is identified by its tag, which is the name of
+its class unless another tag is given.
 """
 
 from __future__ import annotations
@@ -10,19 +12,19 @@
 
 import msgspec
 
-from hemlockhall_core.connection.error import FrameError
+from hemlockhall_core.connection.error import BatchDecodeError
 
-MAX_FRAME_BYTES = 16 * 1024 * 1024
+MAX_BATCH_BYTES = 16 * 1024 * 1024
 
 
 class Message(msgspec.Struct, array_like=True, tag=True, frozen=True):
-    """Base of what a batch can carry."""
+    """Base of the messages that a batch can carry."""
 
 
 class RouteStage(msgspec.Struct, array_like=True, frozen=True):
-    """One stage of a pipeline: an endpoint and the layers it runs.
+    """One stage of a route: an endpoint and the layers that it runs.
 
-    ``first`` is included, ``last`` is not, as in a Python range.
+    The range is half-open: ``first_layer`` is included, ``end_layer`` is not.
     """
 
     endpoint: str
@@ -32,10 +34,12 @@
 
 
 class Open(Message, frozen=True):
-    """Start an attempt of a model request at stage ``index`` of ``route``.
+    """Start an attempt of a model request at ``route[stage_index]``.
 
-    ``known`` holds the ids of the tokens that the caller already has, and
-    ``expires_in`` is the time left to the deadline in seconds.
+    ``known_tokens`` are the ids of the tokens that the caller already has.
+    ``entry`` is the name of the entry host, which receives the output tokens.
+    The deadline is sent as the seconds left, because the monotonic clocks of two
+    processes cannot be compared.
     """
 
     request: str
@@ -57,7 +61,7 @@
 
 
 class Activations(Message, frozen=True, tag="Hop"):
-    """Activations of consecutive positions, input of the layer ``layer``."""
+    """Activations of positions from ``position`` on, the input of ``layer``."""
 
     request: str
     attempt: int
@@ -68,7 +72,7 @@
 
 
 class ActivationsRequest(Message, frozen=True, tag="Need"):
-    """A stage asks the one before it for activations from ``position`` on."""
+    """Ask the previous stage for activations from ``position`` on."""
 
     request: str
     attempt: int
@@ -76,7 +80,7 @@
 
 
 class NextToken(Message, frozen=True, tag="Loop"):
-    """The last stage gives the first stage the token to go on with."""
+    """The sampled token, sent by the last stage to the first for the next step."""
 
     request: str
     attempt: int
@@ -85,7 +89,7 @@
 
 
 class ResponseSummary(msgspec.Struct, array_like=True, frozen=True):
-    """What closes an answer: its token count and the checksum of their ids."""
+    """End of a response: token count, checksum of the ids and finish reason."""
 
     count: int
     checksum: int
@@ -93,7 +97,7 @@
 
 
 class OutputToken(Message, frozen=True, tag="Frame"):
-    """Token number ``index`` of an answer; ``final`` is set on the last."""
+    """A token of the response for the entry host; the last one has ``final``."""
 
     request: str
     attempt: int
@@ -105,7 +109,7 @@
 
 
 class Failed(Message, frozen=True):
-    """A stage cannot go on with an attempt; ``reason`` is a retry reason."""
+    """An attempt failed or did not start; ``reason`` is a ``RetryReason`` value."""
 
     request: str
     attempt: int
@@ -114,16 +118,17 @@
 
 
 class AttemptProbe(Message, frozen=True, tag="Probe"):
-    """Ask a stage to say so if it does not have this attempt."""
+    """Ask a stage to send ``Failed`` if it does not have this attempt."""
 
     request: str
     attempt: int
 
 
 class Close(Message, frozen=True):
-    """Forget a request: it is answered, cancelled or moved elsewhere.
+    """Close the attempts of a request up to and including ``attempt``.
 
-    Attempts up to and including ``attempt`` are closed.
+    Sent when the request has been answered or cancelled, or continues on
+    another route.
     """
 
     request: str
@@ -138,7 +143,7 @@
 
 
 class Call(Message, frozen=True):
-    """One call of a plain service."""
+    """A call of a plain service; ``key`` is its idempotency key."""
 
     request: str
     attempt: int
@@ -156,7 +161,7 @@
 
 
 class CallResponse(Message, frozen=True, tag="Answer"):
-    """What a plain service answered."""
+    """The HTTP response of a plain service."""
 
     request: str
     attempt: int
@@ -166,7 +171,11 @@
 
 
 class CallRefused(Message, frozen=True, tag="Refused"):
-    """A side process did not get an answer for a call, and why."""
+    """The side process got no response for a call.
+
+    ``reason`` is a ``RefusalReason`` or ``RetryReason`` value, ``ran`` a ``Ran``
+    value and ``retry_after`` in seconds.
+    """
 
     request: str
     attempt: int
@@ -177,14 +186,14 @@
 
 
 class CancelCall(Message, frozen=True, tag="Withdraw"):
-    """The caller of a plain service left: do not start the call."""
+    """The caller disconnected: do not start the call."""
 
     request: str
     attempt: int
 
 
 class SectionRef(msgspec.Struct, array_like=True, frozen=True):
-    """Name of a document section and the SHA-256 of its text."""
+    """Name of a section of the document and the SHA-256 of its text."""
 
     name: str
     digest: str
@@ -193,15 +202,16 @@
 class DocumentRequest(Message, frozen=True, tag="DocumentAsk"):
     """Ask a peer for its version of the document.
 
-    ``wanted`` names sections (empty: all), ``held`` those not to send again.
+    ``sections`` are the names of the required sections (empty: all) and
+    ``known_sections`` those whose texts the sender already has.
     """
 
-    wanted: list[str]
-    held: list[SectionRef]
+    sections: list[str]
+    known_sections: list[SectionRef]
 
 
 class SectionText(msgspec.Struct, array_like=True, frozen=True):
-    """The text of one section."""
+    """Text of one section and its SHA-256."""
 
     name: str
     digest: str
@@ -209,7 +219,7 @@
 
 
 class DocumentText(Message, frozen=True):
-    """A version of the document: all section digests, and some texts."""
+    """A version of the document: digests of all sections, texts of some."""
 
     version: int
     refs: list[SectionRef]
@@ -217,13 +227,13 @@
 
 
 class Drain(Message, frozen=True):
-    """Ask a process to leave: finish its requests and take no new ones."""
+    """Ask a process to drain: finish its requests and accept no new ones."""
 
     endpoint: str
 
 
 class DrainAccepted(Message, frozen=True, tag="DrainTaken"):
-    """A process is leaving, as it was asked to."""
+    """Acknowledge a ``Drain``; ``in_flight`` requests remain."""
 
     endpoint: str
     in_flight: int
@@ -250,23 +260,25 @@
 
 
 class Batch(msgspec.Struct, array_like=True, frozen=True):
-    """What one send carries.
+    """Unit of transfer between two processes.
 
-    ``boot`` names the run of the sending process, ``to_boot`` the run of the
-    receiver that the numbered messages are meant for. ``seq`` is 0 on a batch
-    without messages, and ``ack`` the highest ``seq`` received in order.
+    ``boot`` identifies one run of the sending process, ``receiver_boot`` the run
+    of the receiver that the messages and ``ack`` are meant for. ``seq`` is 0 on
+    a batch without messages, and ``ack`` the highest ``seq`` received in order.
+    ``version``, ``state`` and ``load`` describe the sender. ``reconnect`` asks
+    the receiver to open a new connection to the sender.
     """
 
     sender: str
     address: str
     boot: int
-    to_boot: int
+    receiver_boot: int
     seq: int
     ack: int
     version: int
     state: str
     load: int
-    renew: bool
+    reconnect: bool
     messages: list[AnyMessage]
 
 
@@ -275,24 +287,24 @@
 
 
 def encode(batch: Batch) -> bytes:
-    """Return the bytes of a batch."""
+    """Encode a batch."""
     return _ENCODER.encode(batch)
 
 
 def decode(data: bytes) -> Batch:
-    """Return the batch in ``data``; raise :class:`FrameError` if it is none."""
-    if len(data) > MAX_FRAME_BYTES:
-        msg = f"batch of {len(data)} bytes is over the limit of {MAX_FRAME_BYTES}"
-        raise FrameError(msg)
+    """Decode a batch; raise :class:`BatchDecodeError` if ``data`` is not one."""
+    if len(data) > MAX_BATCH_BYTES:
+        msg = f"batch of {len(data)} bytes is over the limit of {MAX_BATCH_BYTES}"
+        raise BatchDecodeError(msg)
     try:
         return _DECODER.decode(data)
     except msgspec.MsgspecError as exc:
         msg = f"not a batch of this protocol: {exc}"
-        raise FrameError(msg) from exc
+        raise BatchDecodeError(msg) from exc
 
 
 __all__ = [
-    "MAX_FRAME_BYTES",
+    "MAX_BATCH_BYTES",
     "CallResponse",
     "AnyMessage",
     "Batch",
--- a/packages/core/src/hemlockhall_core/version/document_cache.py
+++ b/packages/core/src/hemlockhall_core/version/document_cache.py
@@ -109,11 +109,11 @@
 
     def make_response(self, ask: DocumentRequest) -> DocumentText:
         """Return what a peer lacks of the version in force here."""
-        held = {ref.digest for ref in ask.held}
+        held = {ref.digest for ref in ask.known_sections}
         texts = []
         for name, text in self._texts.items():
             found = digest(text)
-            if found in held or (ask.wanted and name not in ask.wanted):
+            if found in held or (ask.sections and name not in ask.sections):
                 continue
             texts.append(SectionText(name, found, text))
         refs = [SectionRef(n, d) for n, d in self.digests.items()]
--- a/tests/core/connection/test_link.py
+++ b/tests/core/connection/test_link.py
@@ -1,4 +1,4 @@
-"""Links of two processes that forget each other and meet again."""
+"""Tests of two links of which one removes a peer and contacts it again."""
 
 from __future__ import annotations
 
@@ -15,25 +15,25 @@
 
 pytestmark = pytest.mark.anyio
 
-# Seconds a test waits for what must happen; generous for busy machines.
+# Long enough for a busy machine.
 WAIT_S = 20.0
 
 
 @dataclass
 class Inbox(Handler):
-    """Keeps what arrives."""
+    """Records the received messages."""
 
     messages: list[AnyMessage] = field(default_factory=list)
 
     def on_message(self, peer: Peer, message: AnyMessage) -> None:
-        """Keep a message."""
+        """Record a message."""
         self.messages.append(message)
 
     def on_lost(self, peer: Peer, *, restarted: bool) -> None:
-        """Nothing runs here."""
+        """Ignore the loss of a peer."""
 
     def on_version(self, peer: Peer, version: int) -> None:
-        """There is no document."""
+        """Ignore the version of the document."""
 
 
 def make_link(name: str) -> tuple[Link, Inbox]:
@@ -42,34 +42,32 @@
     return Link(name, address, address, inbox, Metrics(), Timing()), inbox
 
 
-async def until(done) -> None:  # noqa: ANN001
+async def wait_until(condition) -> None:  # noqa: ANN001
     with anyio.fail_after(WAIT_S):
-        while not done():
+        while not condition():
             await anyio.sleep(0.005)
 
 
-class TestForgetting:
-    async def test_a_forgotten_peer_is_met_anew(self) -> None:
-        """An entry host is replaced while the store is down. Until it has the
-        document it knows no endpoint, so it forgets each one that it heard and
-        meets it again with the next heartbeat. Its numbering began anew, the
-        endpoint's did not: the endpoint took the next messages for repeats and
-        acknowledged them, and its own stayed behind a gap. The caller's request
-        was sent and never answered."""
-        host, at_host = make_link("entry-1")
-        endpoint, at_endpoint = make_link("a1")
+class TestRemovePeer:
+    async def test_messages_arrive_after_a_peer_was_removed_and_returned(self) -> None:
+        """An entry host that is replaced while the store is down has no document, so
+        it removes each endpoint and contacts it again at its next heartbeat. If only
+        its own sequence numbers restart, the endpoint drops its messages as repeats
+        and its replies are behind a gap: a request is sent and never answered."""
+        host, host_inbox = make_link("entry-1")
+        endpoint, endpoint_inbox = make_link("a1")
         async with anyio.create_task_group() as group:
             await group.start(host.run)
             await group.start(endpoint.run)
             host.peer("a1", endpoint.address).post(Close("r1", 1))
-            await until(lambda: len(at_endpoint.messages) == 1)
+            await wait_until(lambda: len(endpoint_inbox.messages) == 1)
             endpoint.peers["entry-1"].post(Close("r1", 1))
-            await until(lambda: len(at_host.messages) == 1)
+            await wait_until(lambda: len(host_inbox.messages) == 1)
             host.remove_peer("a1")
             host.peer("a1", endpoint.address).post(Close("r2", 1))
-            await until(lambda: len(at_endpoint.messages) == 2)
+            await wait_until(lambda: len(endpoint_inbox.messages) == 2)
             endpoint.peers["entry-1"].post(Close("r2", 1))
-            await until(lambda: len(at_host.messages) == 2)
+            await wait_until(lambda: len(host_inbox.messages) == 2)
             group.cancel_scope.cancel()
-        assert at_endpoint.messages == [Close("r1", 1), Close("r2", 1)]
-        assert at_host.messages == [Close("r1", 1), Close("r2", 1)]
+        assert endpoint_inbox.messages == [Close("r1", 1), Close("r2", 1)]
+        assert host_inbox.messages == [Close("r1", 1), Close("r2", 1)]
--- a/tests/core/connection/test_message.py
+++ b/tests/core/connection/test_message.py
@@ -1,4 +1,4 @@
-"""Tests of the encoding between processes."""
+"""Tests of the encoding of batches."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hemlockhall_core.connection.error import FrameError
+from hemlockhall_core.connection.error import BatchDecodeError
 from hemlockhall_core.connection.message import (
     Activations,
     Batch,
@@ -24,20 +24,22 @@
     def test_round_trip(self) -> None:
         assert decode(encode(BATCH)) == BATCH
 
-    def test_truncated(self) -> None:
-        with pytest.raises(FrameError, match="not a batch"):
+    def test_a_truncated_batch_raises(self) -> None:
+        with pytest.raises(BatchDecodeError, match="not a batch"):
             decode(encode(BATCH)[:-1])
 
     @given(st.binary(max_size=200))
-    def test_hostile_bytes_raise_nothing_else(self, data: bytes) -> None:
+    def test_random_bytes_raise_only_a_decode_error(self, data: bytes) -> None:
         try:
             decoded = decode(data)
-        except FrameError:
+        except BatchDecodeError:
             return
         assert isinstance(decoded, Batch)
 
     @given(st.lists(st.binary(max_size=64), max_size=20), st.integers(0, 2**40))
-    def test_activations_come_back(self, values: list[bytes], position: int) -> None:
-        hop = Activations("r", 1, 4, position, 9, values)
-        batch = Batch("a", "10.0.0.1:1", 5, 6, 1, 0, 3, "active", 2, False, [hop])
-        assert decode(encode(batch)).messages == [hop]
+    def test_activations_round_trip(self, values: list[bytes], position: int) -> None:
+        activations = Activations("r", 1, 4, position, 9, values)
+        batch = Batch(
+            "a", "10.0.0.1:1", 5, 6, 1, 0, 3, "active", 2, False, [activations]
+        )
+        assert decode(encode(batch)).messages == [activations]
