--- a/packages/core/src/hemlockhall_core/connection/link.py
+++ b/packages/core/src/hemlockhall_core/connection/link.py
@@ -111,20 +111,20 @@
     async def _receive(self, sock: pynng.Pull0) -> None:
         while True:
             data = await sock.arecv()
-            self._metrics.received(len(data))
+            self._metrics.count_received(len(data))
             try:
                 batch = decode(data)
             except BatchDecodeError as exc:
                 # A malformed or truncated batch must not end the process. The
                 # sender sends it again, as it is not acknowledged.
-                self._metrics.batch("malformed")
+                self._metrics.count_batch("malformed")
                 logger.warning("dropped a malformed batch: {}", exc)
                 continue
             self._handle_batch(batch)
 
     def _handle_batch(self, batch: Batch) -> None:
         if not batch.sender or not is_address(batch.address):
-            self._metrics.batch("malformed")
+            self._metrics.count_batch("malformed")
             return
         peer = self.peer(batch.sender, batch.address)
         fresh = peer.receive(batch)
@@ -135,7 +135,7 @@
             try:
                 self._handler.on_message(peer, message)
             except Exception:  # noqa: BLE001 - a bad message must not end the process
-                self._metrics.batch("rejected")
+                self._metrics.count_batch("rejected")
                 logger.exception("handling a message of peer {} failed", peer.name)
 
     def peer(self, name: str, address: str) -> Peer:
@@ -201,11 +201,11 @@
 
     def count_batch(self, kind: str) -> None:
         """Count a batch that was dropped, or a renewed connection."""
-        self._metrics.batch(kind)
+        self._metrics.count_batch(kind)
 
     def count_sent(self, size: int) -> None:
         """Count a sent batch of ``size`` bytes."""
-        self._metrics.sent(size)
+        self._metrics.count_sent(size)
 
 
 def is_address(text: str) -> bool:
--- a/packages/core/src/hemlockhall_core/process/__init__.py
+++ b/packages/core/src/hemlockhall_core/process/__init__.py
@@ -1,3 +1,3 @@
-"""What lives as long as a process."""
+"""Settings, logs, metrics and store clients of a process."""
 
 from __future__ import annotations
--- a/packages/core/src/hemlockhall_core/process/error.py
+++ b/packages/core/src/hemlockhall_core/process/error.py
@@ -1,20 +1,20 @@
-"""Errors of a process: its settings and the platform's services."""
+"""Errors of the settings and of the platform's services."""
 
 from __future__ import annotations
 
 
 class SettingsError(Exception):
-    """The settings file cannot be used; the text lists every fault."""
+    """The settings file is not valid; the text lists every error in it."""
 
 
 class PlatformError(Exception):
-    """The platform's table service or object store gave no result."""
+    """Base of the errors of the platform's table service and object store."""
 
 
 class StoreUnavailableError(PlatformError):
-    """The store did not take the call: nothing was written.
+    """The store did not accept the call: nothing was written.
 
-    ``retry_after`` is the time in seconds until it is asked again.
+    ``retry_after`` is the time in seconds until it may be called again.
     """
 
     def __init__(self, text: str, retry_after: float) -> None:
@@ -23,14 +23,14 @@
 
 
 class StoreOutcomeUnknownError(PlatformError):
-    """The answer of the store was lost: it may have written."""
+    """The outcome of a call is not known: the store may have written."""
 
 
 class StoreConflictError(PlatformError):
-    """A checked row has another version than expected; nothing was written."""
+    """A checked row does not have the expected version; nothing was written."""
 
     def __init__(self, keys: list[str]) -> None:
-        super().__init__(f"rows changed by somebody else: {', '.join(keys)}")
+        super().__init__(f"rows changed by another writer: {', '.join(keys)}")
         self.keys = keys
 
 
--- a/packages/core/src/hemlockhall_core/process/latency.py
+++ b/packages/core/src/hemlockhall_core/process/latency.py
@@ -1,36 +1,36 @@
-"""Latency histograms, whatever exports them."""
+"""Latency histograms, independent of the exporter."""
 
 from __future__ import annotations
 
 from hdrh.histogram import HdrHistogram
 
 MAX_LATENCY_US = 3_600_000_000
-US = 1_000_000
-# Significant digits that a histogram keeps; two suffice for quantiles.
-DIGITS = 2
+US_PER_S = 1_000_000
+# Enough for quantiles.
+SIGNIFICANT_DIGITS = 2
 
 
 class Latency:
-    """A histogram of times in seconds."""
+    """A histogram of latencies in seconds; ``documentation`` is its help text."""
 
-    def __init__(self, name: str, text: str) -> None:
+    def __init__(self, name: str, documentation: str) -> None:
         self.name = name
-        self.text = text
-        self._histogram = HdrHistogram(1, MAX_LATENCY_US, DIGITS)
+        self.documentation = documentation
+        self._histogram = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
         self.sum = 0.0
 
     def record(self, seconds: float) -> None:
-        """Add one measured time."""
-        self._histogram.record_value(max(1, int(seconds * US)))
+        """Add a latency in seconds."""
+        self._histogram.record_value(max(1, int(seconds * US_PER_S)))
         self.sum += seconds
 
     def quantile(self, percent: float) -> float:
-        """Return the latency in seconds below which ``percent`` lie."""
-        return self._histogram.get_value_at_percentile(percent) / US
+        """Return the ``percent`` percentile in seconds."""
+        return self._histogram.get_value_at_percentile(percent) / US_PER_S
 
     @property
     def count(self) -> int:
-        """How many times were recorded."""
+        """Number of recorded latencies."""
         return self._histogram.get_total_count()
 
 
--- a/packages/core/src/hemlockhall_core/process/log.py
+++ b/packages/core/src/hemlockhall_core/process/log.py
@@ -1,4 +1,4 @@
-"""Logs of a process: a line of JSON or of text for each record."""
+"""Log output of a process, as JSON lines or text."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 
 def configure(process: str, *, level: str, json: bool) -> None:
-    """Send records to standard error, each naming the process.
+    """Write log records to standard error.
 
     Parameters
     ----------
     process : str
-        Name that each line carries.
+        Name of the process, added to each record.
     level : str
         Lowest level that is written.
     json : bool
-        Write JSON instead of text.
+        Write JSON lines instead of text.
     """
     logger.remove()
     logger.configure(extra={"process": process})
-    # ``diagnose`` would print the values of variables, API keys among them.
+    # ``diagnose`` would print the values of variables, including API keys.
     if json:
         logger.add(sys.stderr, level=level, serialize=True, diagnose=False)
         return
--- a/packages/core/src/hemlockhall_core/process/metric.py
+++ b/packages/core/src/hemlockhall_core/process/metric.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms of a process, as Prometheus text."""
+"""Counters and latency histograms of a process in the Prometheus format."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 
 
 class LatencySummary:
-    """Exports a latency histogram as a summary in seconds."""
+    """Prometheus collector that exports a histogram as a summary in seconds."""
 
     def __init__(self, latency: Latency) -> None:
         self._latency = latency
 
     def collect(self) -> Iterator[SummaryMetricFamily]:
-        """Yield the summary for the exporter."""
+        """Yield the summary."""
         latency = self._latency
-        family = SummaryMetricFamily(latency.name, latency.text)
+        family = SummaryMetricFamily(latency.name, latency.documentation)
         for percent in QUANTILES:
             label = {"quantile": str(percent / 100)}
             family.add_sample(latency.name, label, latency.quantile(percent))
@@ -35,18 +35,22 @@
 
 
 class Metrics:
-    """All counters of one process; each reason exists from the start at 0."""
+    """Metrics of a process; the counters of all reasons start at 0."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
         self._refusals = self._counter("refusals", "Refused requests", "reason")
         self._retries = self._counter("retries", "Tries after the first", "reason")
         self._batches = self._counter("batches", "Batches set aside", "kind")
-        self._guards = self._counter("guards", "Stale or repeated work", "kind")
-        self._bytes = self._counter("link_bytes", "Bytes of the links", "way")
-        self._frames = self._counter("link_batches", "Batches of links", "way")
+        self._ignored_messages = self._counter(
+            "guards", "Stale or repeated work", "kind"
+        )
+        self._link_bytes = self._counter("link_bytes", "Bytes of the links", "way")
+        self._link_batches = self._counter("link_batches", "Batches of links", "way")
         self._requests = self._counter("requests", "Requests by outcome", "outcome")
-        self._store = self._counter("store_calls", "Calls of the store", "outcome")
+        self._store_calls = self._counter(
+            "store_calls", "Calls of the store", "outcome"
+        )
         self._version = Gauge(
             "hemlockhall_document_version",
             "Version of the document in force",
@@ -60,11 +64,13 @@
         for retry in RetryReason:
             self._retries.labels(retry.value)
 
-    def _counter(self, name: str, text: str, label: str) -> Counter:
-        return Counter(f"hemlockhall_{name}", text, [label], registry=self.registry)
+    def _counter(self, name: str, documentation: str, label: str) -> Counter:
+        return Counter(
+            f"hemlockhall_{name}", documentation, [label], registry=self.registry
+        )
 
-    def _latency(self, name: str, text: str) -> Latency:
-        latency = Latency(f"hemlockhall_{name}_seconds", text)
+    def _latency(self, name: str, documentation: str) -> Latency:
+        latency = Latency(f"hemlockhall_{name}_seconds", documentation)
         self.registry.register(LatencySummary(latency))  # type: ignore[arg-type]
         return latency
 
@@ -76,43 +82,43 @@
         """Count a retry."""
         self._retries.labels(reason.value).inc()
 
-    def batch(self, kind: str) -> None:
-        """Count a batch that was dropped, or a renewed connection."""
+    def count_batch(self, kind: str) -> None:
+        """Count a dropped batch or a renewed connection."""
         self._batches.labels(kind).inc()
 
     def count_ignored_message(self, kind: str) -> None:
-        """Count a message that a stage or an entry host did not act on."""
-        self._guards.labels(kind).inc()
+        """Count a stale or repeated message that was ignored."""
+        self._ignored_messages.labels(kind).inc()
 
-    def sent(self, size: int) -> None:
-        """Count a batch sent."""
-        self._bytes.labels("out").inc(size)
-        self._frames.labels("out").inc()
+    def count_sent(self, size: int) -> None:
+        """Count a sent batch of ``size`` bytes."""
+        self._link_bytes.labels("out").inc(size)
+        self._link_batches.labels("out").inc()
 
-    def received(self, size: int) -> None:
-        """Count a batch received."""
-        self._bytes.labels("in").inc(size)
-        self._frames.labels("in").inc()
+    def count_received(self, size: int) -> None:
+        """Count a received batch of ``size`` bytes."""
+        self._link_bytes.labels("in").inc(size)
+        self._link_batches.labels("in").inc()
 
     def count_request(self, outcome: str) -> None:
-        """Count an ended request."""
+        """Count a completed request by its outcome."""
         self._requests.labels(outcome).inc()
 
-    def store_call(self, outcome: str) -> None:
-        """Count a call of the table service or the object store."""
-        self._store.labels(outcome).inc()
+    def count_store_call(self, outcome: str) -> None:
+        """Count a call of a platform service by its outcome."""
+        self._store_calls.labels(outcome).inc()
 
-    def document_version(self, version: int) -> None:
-        """Show the version of the document in force."""
+    def set_document_version(self, version: int) -> None:
+        """Set the gauge of the document version in force."""
         self._version.set(version)
 
     def render(self) -> bytes:
-        """Return everything in the Prometheus text format."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self.registry)
 
     def nonzero_counters(self) -> dict[str, float]:
-        """Return the counters that moved, by ``name{label}``."""
-        moved: dict[str, float] = {}
+        """Return the counters that are not 0, by ``name{label}``."""
+        counters: dict[str, float] = {}
         for family in self.registry.collect():
             if family.type != "counter":
                 continue
@@ -120,8 +126,8 @@
                 if not sample.name.endswith("_total") or not sample.value:
                     continue
                 label = ",".join(sample.labels.values())
-                moved[f"{sample.name}{{{label}}}"] = sample.value
-        return moved
+                counters[f"{sample.name}{{{label}}}"] = sample.value
+        return counters
 
 
 __all__ = [
--- a/packages/core/src/hemlockhall_core/process/setting.py
+++ b/packages/core/src/hemlockhall_core/process/setting.py
@@ -1,4 +1,4 @@
-"""Settings of a process: a TOML file, checked whole when it starts."""
+"""Settings of a process: a TOML file that is validated at start."""
 
 from __future__ import annotations
 
@@ -12,35 +12,36 @@
 from hemlockhall_core.process.error import SettingsError
 
 
-def _address(text: str) -> str:
+def _check_address(text: str) -> str:
     if not is_address(text):
         msg = 'must be an IP number and a port, such as "10.0.0.5:7000"'
         raise ValueError(msg)
     return text
 
 
-Address = Annotated[str, AfterValidator(_address)]
+Address = Annotated[str, AfterValidator(_check_address)]
 Url = Annotated[str, Field(pattern=r"^https?://")]
 Seconds = Annotated[float, Field(gt=0)]
 
 
 class Section(BaseModel):
-    """Base of the sections: unknown keys are errors."""
+    """Base of the sections; unknown keys are errors."""
 
     model_config = ConfigDict(extra="forbid", strict=True)
 
 
 class ProcessSection(Section):
-    """Who this process is."""
+    """Identity of this process."""
 
     name: Annotated[str, Field(pattern=r"^[A-Za-z0-9._-]+$")]
     data_centre: str
 
 
 class LinkSection(Section):
-    """Where this process listens, and how patient it is with others.
+    """Address and timing of the link to other processes.
 
-    ``advertise`` is where the others reach it, if that is another address.
+    ``advertise`` is the address for the peers if it differs from ``address``. For
+    the times, see :class:`hemlockhall_core.connection.peer.Timing`.
     """
 
     address: Address
@@ -53,7 +54,7 @@
 
 
 class PlatformSection(Section):
-    """The platform's services."""
+    """URLs of the platform's services."""
 
     table: Url
     objects: Url
@@ -61,21 +62,25 @@
 
 
 class LogSection(Section):
-    """How logs are written."""
+    """Level and format of the logs."""
 
     level: Literal["DEBUG", "INFO", "WARNING", "ERROR"] = "INFO"
     json_lines: bool = False
 
 
 class Seed(Section):
-    """A process that is asked for the document at the start."""
+    """A process to connect to at start, to get the document from."""
 
     name: str
     address: Address
 
 
 class EntrySection(Section):
-    """What only an entry host has."""
+    """Settings of an entry host.
+
+    ``repairs`` is the number of retries of a model request, ``body_limit`` is in
+    bytes.
+    """
 
     listen: Address
     admin: Address
@@ -87,7 +92,11 @@
 
 
 class SideSection(Section):
-    """What only a side process has; ``back_end`` is the endpoint's URL."""
+    """Settings of a side process.
+
+    ``back_end`` is the URL of the endpoint, ``retain_bytes`` the limit of the stage
+    outputs that are retained for retries.
+    """
 
     back_end: Url
     admin: Address
@@ -109,19 +118,19 @@
 
 
 def load_settings(path: Path, role: str) -> Settings:
-    """Return the settings in a file.
+    """Load and validate a settings file.
 
     Parameters
     ----------
     path : Path
         The TOML file.
     role : str
-        ``entry`` or ``side``; the section of that name must be there.
+        ``entry`` or ``side``; the section of that name is required.
 
     Raises
     ------
     SettingsError
-        With every fault, its place and what to write instead.
+        Lists every error with its key and what is accepted.
     """
     try:
         raw = tomllib.loads(path.read_text())
@@ -133,18 +142,18 @@
     try:
         settings = Settings.model_validate(raw)
     except ValidationError as exc:
-        raise SettingsError(_report(path, exc)) from exc
+        raise SettingsError(_format_errors(path, exc)) from exc
     if getattr(settings, role) is None:
         msg = f"{path}: section [{role}] is missing; the role {role} needs it"
         raise SettingsError(msg)
     return settings
 
 
-def _report(path: Path, exc: ValidationError) -> str:
+def _format_errors(path: Path, exc: ValidationError) -> str:
     lines = []
     for error in exc.errors():
-        place = ".".join(str(part) for part in error["loc"])
-        lines.append(f"{path}: {place}: {error['msg']}; got {error['input']!r}")
+        location = ".".join(str(part) for part in error["loc"])
+        lines.append(f"{path}: {location}: {error['msg']}; got {error['input']!r}")
     return "\n".join(lines)
 
 
--- a/packages/core/src/hemlockhall_core/process/table.py
+++ b/packages/core/src/hemlockhall_core/process/table.py
@@ -1,4 +1,4 @@
-"""Clients of the platform's table service and object store, over HTTP."""
+"""HTTP clients of the platform's table service, object store and host list."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 if TYPE_CHECKING:
     from hemlockhall_core.process.metric import Metrics
 
-STORE_TIMEOUT = 1.0
-MIN_PAUSE = 0.5
-MAX_PAUSE = 4.0
-NOT_SENT = (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout)
+STORE_TIMEOUT_S = 1.0
+MIN_BACKOFF_S = 0.5
+MAX_BACKOFF_S = 4.0
+NOT_SENT_ERRORS = (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout)
 
 
 class Row(msgspec.Struct):
-    """One row: its JSON value and its version, which each write raises."""
+    """A row: its JSON value and its version, which increases with each write."""
 
     key: str
     value: Any
@@ -34,21 +34,21 @@
 
 
 class Check(msgspec.Struct):
-    """A condition of a transaction; version 0 means that the row is absent."""
+    """Precondition: the row has this version; 0 means that it does not exist."""
 
     key: str
     version: int
 
 
 class Put(msgspec.Struct):
-    """A row to be written by a transaction."""
+    """A row that a transaction writes."""
 
     key: str
     value: Any
 
 
 class Transaction(msgspec.Struct):
-    """Writes that take effect together, if all checks hold."""
+    """Writes that are applied atomically if all checks hold."""
 
     checks: list[Check]
     puts: list[Put] = []
@@ -56,160 +56,172 @@
 
 
 class Committed(msgspec.Struct):
-    """The table service's answer to a transaction that took effect."""
+    """Response of the table service to an applied transaction."""
 
     version: int
 
 
 class Conflict(msgspec.Struct):
-    """The table service's answer to a failed check."""
+    """Response of the table service to a failed check."""
 
     conflicts: list[str]
 
 
 @dataclass
-class Pause:
-    """Keeps callers off a store that fails, until a deadline.
+class Backoff:
+    """Exponential backoff with jitter for the calls of a failing store.
 
-    Without it every request would wait for its own time-out during an
-    outage, and all would return at once after it. The pause doubles up to
-    ``MAX_PAUSE`` and is jittered, so that processes do not return together.
+    Without it, every request would wait for its own timeout during an outage and
+    all would call the store at once after it. The delay doubles up to
+    ``MAX_BACKOFF_S``; the jitter keeps processes from retrying together.
     """
 
-    until: float = 0.0
-    length: float = MIN_PAUSE
-    lost: int = 0
+    deadline: float = 0.0
+    next_delay_s: float = MIN_BACKOFF_S
+    consecutive_lost: int = 0
 
-    def check(self) -> None:
-        """Raise :class:`StoreUnavailableError` before the deadline."""
-        left = self.until - time.monotonic()
-        if left > 0:
-            msg = "the store failed a moment ago and is left alone for now"
-            raise StoreUnavailableError(msg, left)
+    def raise_if_active(self) -> None:
+        """Raise :class:`StoreUnavailableError` during a backoff."""
+        remaining_s = self.deadline - time.monotonic()
+        if remaining_s > 0:
+            msg = "the store failed recently and is not called during its backoff"
+            raise StoreUnavailableError(msg, remaining_s)
 
-    def answer_lost(self) -> None:
-        """Begin a pause with the second lost answer in a row.
+    def record_lost_response(self) -> None:
+        """Start a backoff at the second lost response in a row.
 
-        After the first one the caller has to read back what was written.
+        After the first one, the caller has to read back what was written.
         """
-        self.lost += 1
-        if self.lost > 1:
-            self.failed()
+        self.consecutive_lost += 1
+        if self.consecutive_lost > 1:
+            self.record_failure()
 
-    def failed(self) -> float:
-        """Start or lengthen the pause; return its seconds."""
-        length = self.length * random.uniform(0.5, 1.0)
-        self.until = time.monotonic() + length
-        self.length = min(MAX_PAUSE, self.length * 2)
-        return length
+    def record_failure(self) -> float:
+        """Start a backoff, longer each time; return its delay in seconds."""
+        delay_s = self.next_delay_s * random.uniform(0.5, 1.0)
+        self.deadline = time.monotonic() + delay_s
+        self.next_delay_s = min(MAX_BACKOFF_S, self.next_delay_s * 2)
+        return delay_s
 
-    def worked(self) -> None:
-        """End the pause."""
-        self.until = 0.0
-        self.length = MIN_PAUSE
-        self.lost = 0
+    def record_success(self) -> None:
+        """End the backoff."""
+        self.deadline = 0.0
+        self.next_delay_s = MIN_BACKOFF_S
+        self.consecutive_lost = 0
 
 
-class Store:
-    """What the clients of both stores share: one HTTP client and a pause."""
+class HttpStore:
+    """Base of the clients: an HTTP client with backoff."""
 
     def __init__(self, url: str, metrics: Metrics | None = None) -> None:
-        self._client = httpx.AsyncClient(base_url=url, timeout=STORE_TIMEOUT)
+        self._client = httpx.AsyncClient(base_url=url, timeout=STORE_TIMEOUT_S)
         self._metrics = metrics
-        self._pause = Pause()
+        self._backoff = Backoff()
 
     async def aclose(self) -> None:
         """Close the connections."""
         await self._client.aclose()
 
-    async def _ask(self, method: str, path: str, **extra: Any) -> httpx.Response:
-        self._pause.check()
+    async def _request(self, method: str, path: str, **extra: Any) -> httpx.Response:
+        self._backoff.raise_if_active()
         try:
             response = await self._client.request(method, path, **extra)
-        except NOT_SENT as exc:
+        except NOT_SENT_ERRORS as exc:
             self._count("unavailable")
-            pause = self._pause.failed()
-            raise StoreUnavailableError(f"no connection: {exc}", pause) from exc
+            delay_s = self._backoff.record_failure()
+            raise StoreUnavailableError(
+                f"cannot connect to the store: {exc}", delay_s
+            ) from exc
         except httpx.HTTPError as exc:
             self._count("unknown")
-            self._pause.answer_lost()
-            raise StoreOutcomeUnknownError(f"no answer: {exc!r}") from exc
+            self._backoff.record_lost_response()
+            raise StoreOutcomeUnknownError(
+                f"no response from the store: {exc!r}"
+            ) from exc
         if response.status_code in (429, 503):
             self._count("unavailable")
-            pause = self._pause.failed()
-            msg = f"the store answered {response.status_code}"
-            raise StoreUnavailableError(msg, pause)
+            delay_s = self._backoff.record_failure()
+            msg = f"the store responded with status {response.status_code}"
+            raise StoreUnavailableError(msg, delay_s)
         if response.status_code >= 500:
             self._count("unknown")
-            self._pause.answer_lost()
-            raise StoreOutcomeUnknownError(f"the store answered {response.status_code}")
+            self._backoff.record_lost_response()
+            raise StoreOutcomeUnknownError(
+                f"the store responded with status {response.status_code}"
+            )
         self._count("answered")
-        self._pause.worked()
+        self._backoff.record_success()
         return response
 
     def _count(self, outcome: str) -> None:
         if self._metrics is not None:
-            self._metrics.store_call(outcome)
+            self._metrics.count_store_call(outcome)
 
 
-class Table(Store):
-    """The transactional table service."""
+class Table(HttpStore):
+    """Client of the transactional table service."""
 
     async def read(self, key: str) -> Row | None:
-        """Return a row, or None if there is none."""
-        response = await self._ask("GET", f"/rows/{key}")
+        """Return a row, or None if it does not exist."""
+        response = await self._request("GET", f"/rows/{key}")
         if response.status_code == 404:
             return None
         return msgspec.json.decode(response.content, type=Row)
 
     async def scan(self, prefix: str, limit: int = 100) -> list[Row]:
-        """Return the last ``limit`` rows below a prefix, highest key first."""
+        """Return the last ``limit`` rows with a key prefix, highest key first."""
         params = {"prefix": prefix, "limit": str(limit)}
-        response = await self._ask("GET", "/rows", params=params)
+        response = await self._request("GET", "/rows", params=params)
         return msgspec.json.decode(response.content, type=list[Row])
 
     async def commit(self, transaction: Transaction) -> int:
-        """Write all or nothing; return the version that the rows now have.
-
-        Raises one of the store's errors when nothing was written, or when
-        that is not known.
+        """Apply a transaction; return the new version of its rows.
+
+        Raises
+        ------
+        StoreConflictError
+            A check failed; nothing was written.
+        StoreUnavailableError
+            The store is not available; nothing was written.
+        StoreOutcomeUnknownError
+            The response was lost; the transaction may have been applied.
         """
         body = msgspec.json.encode(transaction)
-        response = await self._ask("POST", "/transactions", content=body)
+        response = await self._request("POST", "/transactions", content=body)
         if response.status_code == 409:
             conflict = msgspec.json.decode(response.content, type=Conflict)
             raise StoreConflictError(conflict.conflicts)
         return msgspec.json.decode(response.content, type=Committed).version
 
 
-class Objects(Store):
-    """The object store; objects are named by their digest, never changed."""
+class Objects(HttpStore):
+    """Client of the object store, whose objects are named by digest and immutable."""
 
     async def read(self, name: str) -> str | None:
-        """Return an object's text, or None if there is none."""
-        response = await self._ask("GET", f"/objects/{name}")
+        """Return the text of an object, or None if it does not exist."""
+        response = await self._request("GET", f"/objects/{name}")
         if response.status_code == 404:
             return None
         return response.text
 
     async def write(self, name: str, text: str) -> None:
-        """Store a text; writing the same again changes nothing."""
-        await self._ask("PUT", f"/objects/{name}", content=text.encode())
+        """Store a text; idempotent."""
+        await self._request("PUT", f"/objects/{name}", content=text.encode())
 
 
 class Host(msgspec.Struct):
-    """A host in the platform's list."""
+    """An entry of the platform's host list."""
 
     endpoint: str
     state: str
 
 
-class HostList(Store):
-    """The platform's lagging list of live and leaving hosts."""
+class HostList(HttpStore):
+    """Client of the platform's list of live and leaving hosts, which lags behind."""
 
     async def read(self) -> list[Host]:
-        """Return the list as the platform shows it now."""
-        response = await self._ask("GET", "/hosts")
+        """Return the current list."""
+        response = await self._request("GET", "/hosts")
         return msgspec.json.decode(response.content, type=list[Host])
 
 
--- a/packages/core/src/hemlockhall_core/request/__init__.py
+++ b/packages/core/src/hemlockhall_core/request/__init__.py
@@ -1,3 +1,3 @@
-"""What lives as long as one caller's request."""
+"""Types shared by all processes that handle a request."""
 
 from __future__ import annotations
--- a/packages/core/src/hemlockhall_core/request/checksum.py
+++ b/packages/core/src/hemlockhall_core/request/checksum.py
@@ -1,4 +1,4 @@
-"""Checksum of an answer's tokens, made by the last stage."""
+"""Checksum of the tokens of a response, computed by the last stage."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def checksum(tokens: Iterable[int]) -> int:
-    """Return the CRC-32 of token ids, each as eight bytes."""
+    """Return the CRC-32 of token ids, each as eight big-endian bytes."""
     value = 0
     for token in tokens:
         value = zlib.crc32(token.to_bytes(TOKEN_BYTES, "big"), value)
--- a/packages/core/src/hemlockhall_core/request/reason.py
+++ b/packages/core/src/hemlockhall_core/request/reason.py
@@ -1,7 +1,7 @@
-"""The words for why a request was refused or retried.
+"""Reasons for refusing or retrying a request.
 
-Each word is the label of a counter, the ``reason`` of a problem document and
-the last part of its ``type``. They are part of the public interface.
+Each value is a label of a counter; a refusal's is also the ``reason`` of a problem
+document and the last part of its ``type``. They are part of the public interface.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 class Ran(str, Enum):
-    """Whether a refused request had an effect at a back end."""
+    """Whether a refused request was executed by a back end."""
 
     NO = "no"
     UNKNOWN = "unknown"
@@ -18,7 +18,7 @@
 
 
 class RefusalReason(str, Enum):
-    """Why a request got no answer from a back end."""
+    """Why a request was refused instead of answered by a back end."""
 
     BAD_DEADLINE = "bad_deadline"
     BODY_TOO_LARGE = "body_too_large"
@@ -42,7 +42,7 @@
 
 
 class RetryReason(str, Enum):
-    """Why a request, or a part of one, was tried again."""
+    """Why an attempt of a request ended and another one is made."""
 
     ENDPOINT_LEAVING = "endpoint_leaving"
     ENGINE_FAILED = "engine_failed"
--- a/packages/core/src/hemlockhall_core/version/document_cache.py
+++ b/packages/core/src/hemlockhall_core/version/document_cache.py
@@ -1,4 +1,4 @@
-"""The version of the document that is in force in a process."""
+"""The version of the document in force in a process, and its exchange with peers."""
 
 from __future__ import annotations
 
@@ -22,106 +22,109 @@
     from hemlockhall_core.connection.peer import Peer
     from hemlockhall_core.process.metric import Metrics
 
-ASK_AGAIN = 0.5
+REQUEST_INTERVAL_S = 0.5
 
 
 class DocumentCache:
-    """Adopts higher versions only, from the store or from a peer.
+    """Holds the document in force; only a higher version replaces it.
 
     Parameters
     ----------
-    wanted : tuple of str
-        Names of the sections that this process needs.
+    section_names : tuple of str
+        Sections that this process needs.
     metrics : Metrics
-        Shows the version in force.
-    adopted : callable
-        Called after each adoption.
+        Exports the version in force.
+    on_adopted : callable
+        Called after a version was adopted.
     """
 
     def __init__(
         self,
-        wanted: tuple[str, ...],
+        section_names: tuple[str, ...],
         metrics: Metrics,
-        adopted: Callable[[], None],
+        on_adopted: Callable[[], None],
     ) -> None:
         self.document = Document(0)
         self.digests: dict[str, str] = {}
         self._texts: dict[str, str] = {}
-        self._wanted = wanted
+        self._section_names = section_names
         self._metrics = metrics
-        self._adopted = adopted
-        self._ask_at = 0.0
+        self._on_adopted = on_adopted
+        self._next_request_at = 0.0
 
     @property
     def version(self) -> int:
-        """The version in force; 0 before the first."""
+        """The version in force, 0 before the first."""
         return self.document.version
 
-    def held(self) -> dict[str, str]:
-        """Return the texts held, by digest."""
+    def texts_by_digest(self) -> dict[str, str]:
+        """Return the texts of the current sections, by digest."""
         return {digest(text): text for text in self._texts.values()}
 
     def missing_sections(self, digests: dict[str, str]) -> dict[str, str]:
-        """Return those wanted sections whose text is not held."""
-        held = self.held()
+        """Return the needed sections of ``digests`` whose texts are not cached."""
+        known = self.texts_by_digest()
         missing = {}
-        for name, wanted in digests.items():
-            if name in self._wanted and wanted not in held:
-                missing[name] = wanted
+        for name, section_digest in digests.items():
+            if name in self._section_names and section_digest not in known:
+                missing[name] = section_digest
         return missing
 
     def adopt(
         self, version: int, digests: dict[str, str], texts: dict[str, str]
     ) -> bool:
-        """Put a version in force if it is higher; return whether it was.
+        """Put a higher version in force; return whether that was done.
 
-        ``texts`` holds the missing sections, by digest.
+        ``texts`` are the texts of the missing sections, by digest. A version with
+        a missing text is not adopted.
         """
-        # A stale read, a paused process or a peer that is behind may offer an
-        # old version; the symptom would be a removed endpoint taking work
-        # again. Comparing here is enough: there is no other way in.
+        # A stale read, a paused process or a peer that lags may offer an old
+        # version, which would make a removed endpoint receive requests again. All
+        # versions pass this check.
         if version <= self.version:
             return False
-        known = {**self.held(), **texts}
+        known = {**self.texts_by_digest(), **texts}
         sections: dict[str, str] = {}
-        for name, wanted in digests.items():
-            if name not in self._wanted:
+        for name, section_digest in digests.items():
+            if name not in self._section_names:
                 continue
-            if wanted not in known:
+            if section_digest not in known:
                 return False
-            sections[name] = known[wanted]
+            sections[name] = known[section_digest]
         self.document = build(join(sections), version)
         self.digests = dict(digests)
         self._texts = sections
-        self._metrics.document_version(version)
+        self._metrics.set_document_version(version)
         logger.bind(version=version).info("document version in force")
-        self._adopted()
+        self._on_adopted()
         return True
 
     def request_if_newer(self, peer: Peer, version: int) -> None:
-        """Ask a peer for its version if it is higher than the one here."""
+        """Request the document from a peer that has a higher version in force."""
         now = time.monotonic()
-        if version <= self.version or now < self._ask_at:
+        if version <= self.version or now < self._next_request_at:
             return
-        self._ask_at = now + ASK_AGAIN
-        held = [SectionRef(n, digest(t)) for n, t in self._texts.items()]
-        peer.post(DocumentRequest(list(self._wanted), held))
+        self._next_request_at = now + REQUEST_INTERVAL_S
+        known = [SectionRef(n, digest(t)) for n, t in self._texts.items()]
+        peer.post(DocumentRequest(list(self._section_names), known))
 
-    def make_response(self, ask: DocumentRequest) -> DocumentText:
-        """Return what a peer lacks of the version in force here."""
-        held = {ref.digest for ref in ask.known_sections}
+    def make_response(self, request: DocumentRequest) -> DocumentText:
+        """Return the version in force, with the texts that the peer lacks."""
+        known = {ref.digest for ref in request.known_sections}
         texts = []
         for name, text in self._texts.items():
-            found = digest(text)
-            if found in held or (ask.sections and name not in ask.sections):
+            section_digest = digest(text)
+            if section_digest in known or (
+                request.sections and name not in request.sections
+            ):
                 continue
-            texts.append(SectionText(name, found, text))
+            texts.append(SectionText(name, section_digest, text))
         refs = [SectionRef(n, d) for n, d in self.digests.items()]
         return DocumentText(self.version, refs, texts)
 
     def apply_response(self, message: DocumentText) -> None:
-        """Adopt what a peer sent; texts that do not match are not taken."""
-        self._ask_at = 0.0
+        """Adopt the version of a peer; ignore texts that do not match their digest."""
+        self._next_request_at = 0.0
         digests = {ref.name: ref.digest for ref in message.refs}
         texts = {t.digest: t.text for t in message.texts if digest(t.text) == t.digest}
         self.adopt(message.version, digests, texts)
--- a/tests/core/version/test_document_cache.py
+++ b/tests/core/version/test_document_cache.py
@@ -1,4 +1,4 @@
-"""Tests of the version in force in a process."""
+"""Tests of the cache of the document in force."""
 
 from __future__ import annotations
 
@@ -13,44 +13,44 @@
 NEW = "[priorities.normal]\nrank = 2"
 
 
-def holder() -> DocumentCache:
+def make_cache() -> DocumentCache:
     return DocumentCache(("priorities",), Metrics(), lambda: None)
 
 
-def adopt(made: DocumentCache, version: int, text: str) -> bool:
+def adopt(cache: DocumentCache, version: int, text: str) -> bool:
     found = digest(text)
-    return made.adopt(version, {"priorities": found}, {found: text})
+    return cache.adopt(version, {"priorities": found}, {found: text})
 
 
 class TestAdopt:
-    # The store answers with a stale head, or a peer that is behind offers its
-    # version, after a higher one was used here.
+    # The store returns a stale head, or a peer that lags offers its version, after a
+    # higher one was adopted.
     def test_a_lower_or_equal_version_is_not_adopted(self) -> None:
-        made = holder()
-        assert adopt(made, 2, NEW)
-        assert not adopt(made, 1, OLD)
-        assert not adopt(made, 2, OLD)
-        assert made.digests == {"priorities": digest(NEW)}
+        cache = make_cache()
+        assert adopt(cache, 2, NEW)
+        assert not adopt(cache, 1, OLD)
+        assert not adopt(cache, 2, OLD)
+        assert cache.digests == {"priorities": digest(NEW)}
 
     def test_a_version_with_a_missing_text_is_not_adopted(self) -> None:
-        made = holder()
-        assert not made.adopt(1, {"priorities": digest(OLD)}, {})
-        assert made.version == 0
+        cache = make_cache()
+        assert not cache.adopt(1, {"priorities": digest(OLD)}, {})
+        assert cache.version == 0
 
 
-class TestAnswer:
-    def test_a_peer_gets_what_it_lacks(self) -> None:
-        made = holder()
-        adopt(made, 2, NEW)
-        whole = made.make_response(DocumentRequest(["priorities"], []))
-        assert [text.text for text in whole.texts] == [NEW]
-        held = SectionRef("priorities", digest(NEW))
-        assert made.make_response(DocumentRequest(["priorities"], [held])).texts == []
+class TestMakeResponse:
+    def test_a_peer_gets_only_the_texts_that_it_lacks(self) -> None:
+        cache = make_cache()
+        adopt(cache, 2, NEW)
+        everything = cache.make_response(DocumentRequest(["priorities"], []))
+        assert [text.text for text in everything.texts] == [NEW]
+        known = SectionRef("priorities", digest(NEW))
+        assert cache.make_response(DocumentRequest(["priorities"], [known])).texts == []
 
     def test_a_text_that_does_not_match_its_digest_is_not_adopted(self) -> None:
-        made, other = holder(), holder()
-        adopt(made, 2, NEW)
-        message = made.make_response(DocumentRequest([], []))
+        cache, other = make_cache(), make_cache()
+        adopt(cache, 2, NEW)
+        message = cache.make_response(DocumentRequest([], []))
         forged = msgspec.structs.replace(message.texts[0], text=OLD)
         other.apply_response(msgspec.structs.replace(message, texts=[forged]))
         assert other.version == 0
