--- a/packages/router/src/hemlockhall_router/connection/__init__.py
+++ b/packages/router/src/hemlockhall_router/connection/__init__.py
@@ -1,1 +1,1 @@
-"""What lives as long as a connection."""
+"""Connections to callers, endpoints, the store and other hosts."""
--- a/packages/router/src/hemlockhall_router/connection/caller.py
+++ b/packages/router/src/hemlockhall_router/connection/caller.py
@@ -1,4 +1,4 @@
-"""Reading of callers' requests from one connection."""
+"""Parser of callers' requests on one connection."""
 
 from __future__ import annotations
 
@@ -19,17 +19,21 @@
     from hemlockhall_router.connection.message import Headers
 
 READ_BYTES = 65_536
-# What a caller may send ahead while its request is served; enough for a few
-# pipelined requests, little enough for thousands of connections.
-AHEAD_BYTES = 65_536
-# How long bytes of a refused request are still read, in seconds: closing with
-# unread bytes resets the connection, and the reset can overtake the refusal.
-LINGER_S = 0.5
+# Bytes buffered while a request is served: enough for a few pipelined requests, few
+# enough for thousands of connections.
+MAX_PIPELINED_BYTES = 65_536
+# Closing a socket with unread bytes resets the connection, and the reset can reach
+# the caller before the response: the rest of a refused request is read for this long.
+LINGERING_CLOSE_S = 0.5
 
 
 @dataclass(slots=True)
 class CallerLimits:
-    """What a caller may send, and how long it may take."""
+    """Limits on the size and duration of requests.
+
+    A head must be complete ``header_s`` after its first byte; a connection without a
+    request is closed after ``idle_s``.
+    """
 
     header_bytes: int = 16_384
     body_bytes: int = 4 * 1024 * 1024
@@ -38,7 +42,7 @@
 
 
 @dataclass(slots=True)
-class _Message:
+class _ParsedRequest:
     headers: Headers = field(default_factory=list)
     target: bytes = b""
     head: RequestHead | None = None
@@ -47,17 +51,17 @@
     complete: bool = False
 
 
-class _Events:
-    """Receives the callbacks of the parser; requests may be pipelined."""
+class _RequestCollector:
+    """Collects the callbacks of httptools; requests may be pipelined."""
 
     def __init__(self) -> None:
         self.parser = httptools.HttpRequestParser(self)
-        self.messages: deque[_Message] = deque()
-        self._current = _Message()
+        self.requests: deque[_ParsedRequest] = deque()
+        self._current = _ParsedRequest()
 
     def on_message_begin(self) -> None:
-        self._current = _Message()
-        self.messages.append(self._current)
+        self._current = _ParsedRequest()
+        self.requests.append(self._current)
 
     def on_url(self, part: bytes) -> None:
         self._current.target += part
@@ -66,11 +70,11 @@
         self._current.headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        message = self._current
-        message.head = RequestHead(
+        request = self._current
+        request.head = RequestHead(
             self.parser.get_method(),
-            message.target,
-            message.headers,
+            request.target,
+            request.headers,
             self.parser.should_keep_alive(),
         )
 
@@ -82,12 +86,11 @@
         self._current.complete = True
 
 
-def check_head(head: RequestHead) -> None:
-    """Raise ``CallerError`` where two readers could disagree on a request.
+def check_framing(head: RequestHead) -> None:
+    """Raise ``CallerError`` if the framing of a request is ambiguous.
 
-    A request that one reader ends at ``Content-Length`` and another at its
-    last chunk lets a caller hide a second request in the body of the first;
-    it would run with nobody's key. Refusing all such requests is enough.
+    If this host and an endpoint disagree on where a request ends, a caller can
+    smuggle a second request in the body of the first, past the check of its API key.
     """
     lengths = hosts = 0
     chunked = False
@@ -110,37 +113,45 @@
 
 
 class CallerReader:
-    """Reads requests, and notices when the caller leaves.
+    """Reads requests and detects that the caller disconnects.
 
     Parameters
     ----------
     stream : SocketStream
         The connection.
     limits : CallerLimits
-        Bounds in force; replaced when the configuration changes.
+        Limits in force; replaced when the configuration changes.
     """
 
     def __init__(self, stream: SocketStream, limits: CallerLimits) -> None:
         self._stream = stream
         self.limits = limits
-        self._events = _Events()
-        self._ahead: list[bytes] = []
+        self._collector = _RequestCollector()
+        self._pipelined: list[bytes] = []
         self._head_bytes = 0
-        self._broken: CallerError | None = None
+        self._parse_error: CallerError | None = None
         self.close_after = False
 
     async def read_head(self) -> RequestHead | None:
-        """Return the head of the next request, or None when the caller is done."""
+        """Return the head of the next request, or None if the connection ended.
+
+        That is, if the caller closed it or sent nothing within the idle time.
+
+        Raises
+        ------
+        CallerError
+            If the head is invalid, too large or too slow.
+        """
         self._head_bytes = 0
         deadline = time.monotonic() + self.limits.idle_s
         while True:
-            message = self._events.messages[0] if self._events.messages else None
-            if message is not None and message.head is not None:
-                check_head(message.head)
-                return message.head
-            if self._broken is not None:
-                raise self._broken
-            started = message is not None or self._head_bytes > 0
+            request = self._collector.requests[0] if self._collector.requests else None
+            if request is not None and request.head is not None:
+                check_framing(request.head)
+                return request.head
+            if self._parse_error is not None:
+                raise self._parse_error
+            started = request is not None or self._head_bytes > 0
             try:
                 data = await self._receive(deadline)
             except TimeoutError:
@@ -153,58 +164,64 @@
                 deadline = time.monotonic() + self.limits.header_s
             self._head_bytes += len(data)
             self._feed(data)
-            message = self._events.messages[0] if self._events.messages else None
-            done = message is not None and message.head is not None
+            request = self._collector.requests[0] if self._collector.requests else None
+            done = request is not None and request.head is not None
             if not done and self._head_bytes > self.limits.header_bytes:
                 raise CallerError(431, "the head is too large")
-            if done and _head_size(message) > self.limits.header_bytes:
+            if done and _head_size(request) > self.limits.header_bytes:
                 raise CallerError(431, "the head is too large")
 
     async def read_body(self, deadline: float) -> bytes:
-        """Return the whole body of the current request."""
-        message = self._events.messages[0]
+        """Return the whole body of the current request.
+
+        Raises
+        ------
+        CallerError
+            If the body is invalid, too large or not complete before ``deadline``.
+        """
+        request = self._collector.requests[0]
         while True:
-            if message.body_size > self.limits.body_bytes:
+            if request.body_size > self.limits.body_bytes:
                 raise CallerError(413, "the body is too large")
-            if message.complete:
-                return b"".join(message.body)
-            if self._broken is not None:
-                raise self._broken
+            if request.complete:
+                return b"".join(request.body)
+            if self._parse_error is not None:
+                raise self._parse_error
             try:
                 self._feed(await self._receive(deadline))
             except TimeoutError:
                 raise CallerError(408, "the body took too long") from None
 
     def finish_request(self) -> None:
-        """Forget the current request, which has been answered."""
-        message = self._events.messages.popleft()
-        if not message.complete:
+        """Drop the answered request and parse pipelined bytes if none is left."""
+        request = self._collector.requests.popleft()
+        if not request.complete:
             self.close_after = True
-        while self._ahead and not self._events.messages:
-            self._feed(self._ahead.pop(0))
+        while self._pipelined and not self._collector.requests:
+            self._feed(self._pipelined.pop(0))
 
     async def wait_disconnect(self) -> None:
-        """Return when the caller has left; keep what it sends ahead."""
+        """Return when the caller has disconnected; buffer pipelined bytes."""
         size = 0
-        while size < AHEAD_BYTES:
+        while size < MAX_PIPELINED_BYTES:
             try:
                 data = await self._receive(float("inf"))
             except CallerDisconnectedError:
                 return
             size += len(data)
-            self._ahead.append(data)
-        # A caller that floods is not read on; it stays until it is answered.
+            self._pipelined.append(data)
+        # The buffer is full: stop reading until the current request is answered.
         await anyio.sleep_forever()
 
     async def send(self, data: bytes) -> None:
-        """Send bytes; raise ``CallerDisconnectedError`` if the caller has left."""
+        """Send bytes or raise ``CallerDisconnectedError``."""
         try:
             await self._stream.send(data)
         except (anyio.BrokenResourceError, anyio.ClosedResourceError, OSError) as exc:
             raise CallerDisconnectedError from exc
 
-    async def refuse(self, exc: CallerError) -> None:
-        """Answer a request that could not be read, and end the connection."""
+    async def send_error(self, exc: CallerError) -> None:
+        """Answer an invalid request with its error and end the connection."""
         body = exc.text.encode() + b"\n"
         headers = [
             (b"Content-Type", b"text/plain; charset=utf-8"),
@@ -213,13 +230,13 @@
         ]
         try:
             await self.send(encode_response_head(exc.status, b"", headers) + body)
-            await self.linger()
+            await self.lingering_close()
         except CallerDisconnectedError:
             return
 
-    async def linger(self) -> None:
-        """End our side and read what the caller still sends, for a moment."""
-        deadline = time.monotonic() + LINGER_S
+    async def lingering_close(self) -> None:
+        """Close the sending side, and read on for up to ``LINGERING_CLOSE_S``."""
+        deadline = time.monotonic() + LINGERING_CLOSE_S
         try:
             await self._stream.send_eof()
             while True:
@@ -232,7 +249,7 @@
             with anyio.fail_after(max(0.0, deadline - time.monotonic())):
                 return await self._stream.receive(READ_BYTES)
         except TimeoutError:
-            # A subclass of OSError, so it must be told apart first.
+            # A subclass of OSError, which is handled below.
             raise
         except anyio.EndOfStream as exc:
             raise CallerDisconnectedError from exc
@@ -241,22 +258,22 @@
 
     def _feed(self, data: bytes) -> None:
         try:
-            self._events.parser.feed_data(data)
+            self._collector.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            # The request is served as it stands, without the upgrade; what
-            # follows it would be read in two ways, so the connection ends.
+            # The request is served without the upgrade. The bytes that follow are
+            # ambiguous, so the connection is closed afterwards.
             self.close_after = True
-            if self._events.messages:
-                self._events.messages[-1].complete = True
+            if self._collector.requests:
+                self._collector.requests[-1].complete = True
         except httptools.HttpParserError:
-            self._broken = CallerError(400, "not a valid HTTP request")
+            self._parse_error = CallerError(400, "not a valid HTTP request")
 
 
-def _head_size(message: _Message | None) -> int:
-    if message is None:
+def _head_size(request: _ParsedRequest | None) -> int:
+    if request is None:
         return 0
-    size = len(message.target)
-    for key, value in message.headers:
+    size = len(request.target)
+    for key, value in request.headers:
         size += len(key) + len(value) + 4
     return size
 
@@ -264,5 +281,5 @@
 __all__ = [
     "CallerLimits",
     "CallerReader",
-    "check_head",
+    "check_framing",
 ]
--- a/packages/router/src/hemlockhall_router/connection/client.py
+++ b/packages/router/src/hemlockhall_router/connection/client.py
@@ -1,4 +1,4 @@
-"""A connection on which this host sends requests, one at a time."""
+"""HTTP/1.1 client connection, used for one request at a time."""
 
 from __future__ import annotations
 
@@ -25,20 +25,20 @@
 
     from hemlockhall_router.connection.message import Headers
 
-# Large enough for a whole answer of a plain service in one read.
+# Most responses of services without streaming fit in one read.
 READ_BYTES = 65_536
-# An answer of a plain service is held whole; a larger one is refused so that
-# an endpoint cannot fill the memory of this host.
-BODY_LIMIT_BYTES = 16 * 1024 * 1024
-BODILESS = frozenset((204, 304))
+# Responses without streaming are buffered whole; the limit keeps an endpoint from
+# exhausting the memory of this host.
+MAX_BODY_BYTES = 16 * 1024 * 1024
+NO_BODY_STATUSES = frozenset((204, 304))
 
 
 @dataclass(slots=True)
-class _Message:
-    """One response as far as it has come.
+class _ParsedResponse:
+    """One response as far as it was received.
 
-    Each holds its own bytes: a late answer to an earlier request may arrive
-    in one read with the answer that is due.
+    Each has its own buffer: a late response to an earlier request may arrive in the
+    same read as the current one.
     """
 
     headers: Headers = field(default_factory=list)
@@ -48,17 +48,17 @@
     complete: bool = False
 
 
-class _Events:
-    """Receives the callbacks of the parser for one response after another."""
+class _ResponseCollector:
+    """Collects the callbacks of httptools for successive responses."""
 
     def __init__(self) -> None:
         self.parser = httptools.HttpResponseParser(self)
-        self.messages: deque[_Message] = deque()
-        self._current = _Message()
+        self.responses: deque[_ParsedResponse] = deque()
+        self._current = _ParsedResponse()
 
     def on_message_begin(self) -> None:
-        self._current = _Message()
-        self.messages.append(self._current)
+        self._current = _ParsedResponse()
+        self.responses.append(self._current)
 
     def on_status(self, reason: bytes) -> None:
         self._current.reason += reason
@@ -67,11 +67,11 @@
         self._current.headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        message = self._current
-        message.head = ResponseHead(
+        response = self._current
+        response.head = ResponseHead(
             self.parser.get_status_code(),
-            message.reason,
-            message.headers,
+            response.reason,
+            response.headers,
             self.parser.should_keep_alive(),
         )
 
@@ -85,17 +85,18 @@
 class ClientConnection:
     """An open connection to an endpoint or to the store.
 
-    ``reusable`` is true between two requests while nothing unexpected came.
+    ``reusable`` is true between two requests unless the last response, or bytes
+    received after it, make the next one ambiguous. Deadlines are monotonic times.
     """
 
     def __init__(self, stream: SocketStream) -> None:
         self._stream = stream
-        self._events = _Events()
-        self._message: _Message | None = None
-        self._until_close = False
-        self._bodiless = False
+        self._collector = _ResponseCollector()
+        self._current: _ParsedResponse | None = None
+        self._reads_until_close = False
+        self._no_body = False
         self._closed = False
-        self._spoilt = False
+        self._parse_failed = False
         self.reusable = True
         self.idle_deadline = float("inf")
 
@@ -106,43 +107,48 @@
             with anyio.fail_after(max(0.0, deadline - time.monotonic())):
                 stream = await anyio.connect_tcp(host, port)
         except TimeoutError as exc:
-            raise NotSentError(f"{host}:{port} did not accept in time") from exc
+            raise NotSentError(f"{host}:{port}: connection timed out") from exc
         except OSError as exc:
-            raise NotSentError(f"{host}:{port} cannot be reached: {exc}") from exc
+            raise NotSentError(f"{host}:{port}: connection failed: {exc}") from exc
         return cls(stream)
 
     async def send(self, text: bytes, deadline: float) -> None:
-        """Send a whole request; an error means that it may have run."""
-        self._message = None
+        """Send a whole request.
+
+        Raises
+        ------
+        ConnectionLostError
+            If it was not sent completely; it may have run.
+        """
+        self._current = None
         self.reusable = False
         try:
             with anyio.fail_after(max(0.0, deadline - time.monotonic())):
                 await self._stream.send(text)
         except TimeoutError as exc:
-            raise ConnectionLostError("the request could not be sent in time") from exc
+            raise ConnectionLostError("timed out while sending the request") from exc
         except (anyio.BrokenResourceError, anyio.ClosedResourceError, OSError) as exc:
             raise ConnectionLostError("the connection broke while sending") from exc
 
     async def read_head(
         self, deadline: float, *, no_body: bool = False
     ) -> ResponseHead:
-        """Return the head of the next final response."""
+        """Return the head of the next final response, skipping interim ones (1xx)."""
         self.reusable = False
-        messages = self._events.messages
+        responses = self._collector.responses
         while True:
-            while not messages or messages[0].head is None:
+            while not responses or responses[0].head is None:
                 await self._read(deadline)
-            message = messages.popleft()
-            assert message.head is not None
-            if message.head.status >= 200:
+            response = responses.popleft()
+            assert response.head is not None
+            if response.head.status >= 200:
                 break
-            # An interim response announces the final one; nothing is relayed.
-        head = message.head
-        self._message = message
-        self._bodiless = no_body or head.status in BODILESS
+        head = response.head
+        self._current = response
+        self._no_body = no_body or head.status in NO_BODY_STATUSES
         framed = head.header(b"content-length") is not None
         chunked = head.header(b"transfer-encoding") is not None
-        self._until_close = not framed and not chunked and not self._bodiless
+        self._reads_until_close = not framed and not chunked and not self._no_body
         return head
 
     async def read_chunk(self, deadline: float) -> bytes | None:
@@ -151,20 +157,21 @@
         Raises
         ------
         ConnectionLostError
-            If the connection broke, or nothing came before ``deadline``.
+            If the connection failed; its subclass ``ReadTimeoutError`` if nothing was
+            received before ``deadline``.
         """
-        message = self._message
-        while message is not None:
-            if message.chunks:
-                return message.chunks.popleft()
-            if message.complete or self._bodiless:
+        response = self._current
+        while response is not None:
+            if response.chunks:
+                return response.chunks.popleft()
+            if response.complete or self._no_body:
                 break
             try:
                 await self._read(deadline)
-            except _CleanEnd:
-                if not self._until_close:
+            except _EndOfStreamError:
+                if not self._reads_until_close:
                     raise ConnectionLostError(
-                        "the answer ended before its end"
+                        "connection closed before the end of the response"
                     ) from None
                 break
         self._finish()
@@ -173,7 +180,15 @@
     async def read_response(
         self, deadline: float, *, no_body: bool = False
     ) -> Response:
-        """Return a response with its complete body."""
+        """Return a response with its complete body.
+
+        Raises
+        ------
+        ConnectionLostError
+            As in ``read_chunk``.
+        ProtocolError
+            If the body exceeds ``MAX_BODY_BYTES`` or is not valid HTTP.
+        """
         head = await self.read_head(deadline, no_body=no_body)
         parts: list[bytes] = []
         size = 0
@@ -182,58 +197,65 @@
             if part is None:
                 return Response(head, b"".join(parts))
             size += len(part)
-            if size > BODY_LIMIT_BYTES:
-                raise ProtocolError(f"a body of over {BODY_LIMIT_BYTES} bytes")
+            if size > MAX_BODY_BYTES:
+                raise ProtocolError(f"the body exceeds {MAX_BODY_BYTES} bytes")
             parts.append(part)
 
     def _finish(self) -> None:
-        message, self._message = self._message, None
-        if message is None or message.head is None:
+        response, self._current = self._current, None
+        if response is None or response.head is None:
             return
-        # More than this answer came, or its end is the connection's.
-        exact = message.complete and not self._events.messages
-        kept = message.head.keep_alive and not self._bodiless
-        self.reusable = exact and kept and not self._until_close and not self._spoilt
+        # Not reusable if bytes followed the response, or if only the end of the
+        # connection ends it.
+        exact = response.complete and not self._collector.responses
+        kept = response.head.keep_alive and not self._no_body
+        self.reusable = (
+            exact and kept and not self._reads_until_close and not self._parse_failed
+        )
 
     async def _read(self, deadline: float) -> None:
         try:
             with anyio.fail_after(max(0.0, deadline - time.monotonic())):
                 data = await self._stream.receive(READ_BYTES)
         except TimeoutError as exc:
-            raise ReadTimeoutError("nothing came in time") from exc
+            raise ReadTimeoutError("nothing received before the deadline") from exc
         except anyio.EndOfStream as exc:
-            if self._message is not None:
-                raise _CleanEnd from exc
-            raise ConnectionLostError("closed before an answer") from exc
+            if self._current is not None:
+                raise _EndOfStreamError from exc
+            raise ConnectionLostError("connection closed before a response") from exc
         except (anyio.BrokenResourceError, anyio.ClosedResourceError, OSError) as exc:
             raise ConnectionLostError("the connection broke") from exc
         try:
-            self._events.parser.feed_data(data)
+            self._collector.parser.feed_data(data)
         except httptools.HttpParserUpgrade as exc:
             raise ProtocolError("the endpoint switched protocols") from exc
         except httptools.HttpParserError as exc:
-            # What came before the spoilt bytes may be a complete answer.
-            self._spoilt = True
-            last = self._events.messages[0] if self._events.messages else self._message
+            # The bytes before the invalid ones may be a complete response.
+            self._parse_failed = True
+            last = (
+                self._collector.responses[0]
+                if self._collector.responses
+                else self._current
+            )
             if last is not None and last.complete:
                 return
             raise ProtocolError(f"not an HTTP response: {exc}") from exc
 
     def is_usable(self) -> bool:
-        """Return whether nothing came since the last answer.
+        """Return whether another request may be sent.
 
-        Bytes on an idle connection answer nobody's request, and a closed one
-        would lose the next request; neither may be used again.
+        False if the idle time is over, if the endpoint closed the connection, or if
+        bytes arrived after the last response, which would be taken for the next one.
         """
         if not self.reusable or time.monotonic() > self.idle_deadline:
             return False
-        # The socket is not read while idle, so the kernel holds what came.
+        # An idle socket is not read, so received bytes or a close show in poll().
         poll = select.poll()
         poll.register(self._stream.extra(SocketAttribute.raw_socket), select.POLLIN)
         return not poll.poll(0)
 
     async def close(self) -> None:
-        """Close the connection; an endpoint stops work on what it serves."""
+        """Close the connection; the endpoint then stops work on an open request."""
         if self._closed:
             return
         self._closed = True
@@ -242,8 +264,8 @@
             await anyio.aclose_forcefully(self._stream)
 
 
-class _CleanEnd(Exception):
-    """The endpoint ended its side after the head, without a reset."""
+class _EndOfStreamError(Exception):
+    """The endpoint closed the connection after the head, without a reset."""
 
 
 __all__ = [
--- a/packages/router/src/hemlockhall_router/connection/error.py
+++ b/packages/router/src/hemlockhall_router/connection/error.py
@@ -1,30 +1,33 @@
-"""Errors of connections."""
+"""Exceptions of connections to endpoints, the store and callers."""
 
 from __future__ import annotations
 
 
 class TransportError(Exception):
-    """Base of what can go wrong on a connection to an endpoint or the store."""
+    """Base class of errors on a connection to an endpoint, the store or a host."""
 
 
 class NotSentError(TransportError):
-    """No byte of the request left this host, so it cannot have run."""
+    """No byte of the request was sent, so it was not executed."""
 
 
 class ConnectionLostError(TransportError):
-    """The connection broke or fell silent after bytes of the request left."""
+    """The connection failed after bytes of the request may have been sent.
+
+    The request may have run.
+    """
 
 
 class ReadTimeoutError(ConnectionLostError):
-    """Nothing came in time; the connection still stands and may be read on."""
+    """Nothing was received in time; the connection is open and can be read again."""
 
 
 class ProtocolError(TransportError):
-    """The other side sent bytes that are not an HTTP response."""
+    """The other side did not send a valid HTTP response."""
 
 
 class CallerError(Exception):
-    """A caller sent what cannot be served; the answer is ``status``."""
+    """A caller sent an invalid request; it is answered with ``status``."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
--- a/packages/router/src/hemlockhall_router/connection/link.py
+++ b/packages/router/src/hemlockhall_router/connection/link.py
@@ -1,4 +1,7 @@
-"""Rows between hosts: packed MessagePack with a length in front, over TCP."""
+"""Transfer of table rows between hosts over TCP.
+
+A message is zlib-compressed MessagePack with a length prefix of 4 bytes, big-endian.
+"""
 
 from __future__ import annotations
 
@@ -15,19 +18,19 @@
     from anyio.abc import SocketStream
 
 LENGTH_BYTES = 4
-# Larger than any table of the store that is passed on; a message must stay below
-# it before and after it is unpacked.
-MESSAGE_BYTES = 16 * 1024 * 1024
-# Configurations shrink to a tenth; hosts may have links of 10 Mbit/s.
-COMPRESSION = 1
+# Larger than any table that is transferred; bounds a message both compressed and
+# decompressed.
+MAX_MESSAGE_BYTES = 16 * 1024 * 1024
+# Configurations compress to a tenth; hosts may have links of 10 Mbit/s.
+COMPRESSION_LEVEL = 1
 
 
 class LinkError(TransportError):
-    """A link to another host failed."""
+    """The connection to another host failed or carried an invalid message."""
 
 
 class TableRow(msgspec.Struct, frozen=True, array_like=True):
-    """A row of the store as another host has it."""
+    """A row of a table, sent by position of its fields."""
 
     key: str
     value: bytes
@@ -36,14 +39,14 @@
 
 
 class Fetch(msgspec.Struct, frozen=True, tag="fetch"):
-    """Asks for the rows of a table that changed after a version."""
+    """Requests the rows of a table that changed after version ``after``."""
 
     table: str
     after: int
 
 
 class Delta(msgspec.Struct, frozen=True, tag="delta"):
-    """Rows that the receiver lacks; ``whole`` if these are all of them."""
+    """Rows that the receiver lacks; ``whole`` if these are all rows of the table."""
 
     table: str
     version: int
@@ -58,7 +61,7 @@
 
 
 class Link:
-    """One connection between two hosts."""
+    """A connection between two hosts; deadlines are monotonic times."""
 
     def __init__(self, stream: SocketStream) -> None:
         self._stream = stream
@@ -74,8 +77,8 @@
             raise LinkError(f"{host}:{port}: {exc}") from exc
 
     async def send(self, message: Message, deadline: float) -> None:
-        """Send a message."""
-        body = zlib.compress(_encoder.encode(message), COMPRESSION)
+        """Send a message before ``deadline`` or raise ``LinkError``."""
+        body = zlib.compress(_encoder.encode(message), COMPRESSION_LEVEL)
         data = len(body).to_bytes(LENGTH_BYTES, "big") + body
         try:
             with anyio.fail_after(max(0.0, deadline - time.monotonic())):
@@ -84,18 +87,20 @@
             raise LinkError(f"not sent: {exc!r}") from exc
 
     async def receive(self, deadline: float) -> Message:
-        """Return the next message."""
-        body = await self._take(LENGTH_BYTES, deadline)
+        """Return the next message, or raise ``LinkError``."""
+        body = await self._read_exactly(LENGTH_BYTES, deadline)
         length = int.from_bytes(body, "big")
-        if length > MESSAGE_BYTES:
-            raise LinkError("a message is too large")
-        data = await self._take(length, deadline)
+        if length > MAX_MESSAGE_BYTES:
+            raise LinkError(
+                f"a message of {length} bytes exceeds the limit of {MAX_MESSAGE_BYTES}"
+            )
+        data = await self._read_exactly(length, deadline)
         try:
-            return _decoder.decode(_unpacked(data))
+            return _decoder.decode(_decompress(data))
         except (msgspec.DecodeError, UnicodeDecodeError, zlib.error) as exc:
-            raise LinkError(f"a message cannot be read: {exc}") from exc
+            raise LinkError(f"invalid message: {exc}") from exc
 
-    async def _take(self, count: int, deadline: float) -> bytes:
+    async def _read_exactly(self, count: int, deadline: float) -> bytes:
         while len(self._buffer) < count:
             try:
                 with anyio.fail_after(max(0.0, deadline - time.monotonic())):
@@ -112,7 +117,7 @@
         return taken
 
     async def wait_closed(self, deadline: float) -> None:
-        """Return when the other side has closed the connection."""
+        """Return when the other side has closed, or at ``deadline``."""
         try:
             with anyio.move_on_after(max(0.0, deadline - time.monotonic())):
                 await self._stream.receive()
@@ -130,11 +135,13 @@
             await anyio.aclose_forcefully(self._stream)
 
 
-def _unpacked(data: bytes) -> bytes:
-    unpacker = zlib.decompressobj()
-    body = unpacker.decompress(data, MESSAGE_BYTES)
-    if unpacker.unconsumed_tail or not unpacker.eof:
-        raise LinkError("a message is too large or not whole")
+def _decompress(data: bytes) -> bytes:
+    decompressor = zlib.decompressobj()
+    body = decompressor.decompress(data, MAX_MESSAGE_BYTES)
+    if decompressor.unconsumed_tail or not decompressor.eof:
+        raise LinkError(
+            f"a message exceeds {MAX_MESSAGE_BYTES} bytes decompressed or is truncated"
+        )
     return body
 
 
--- a/packages/router/src/hemlockhall_router/connection/message.py
+++ b/packages/router/src/hemlockhall_router/connection/message.py
@@ -1,4 +1,4 @@
-"""Heads of HTTP messages and their text on the wire."""
+"""HTTP request and response heads, and their encoding."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 Headers = list[tuple[bytes, bytes]]
 
-# Headers that concern one connection only (RFC 9110, section 7.6.1).
-HOP_HEADERS = frozenset(
+# Not forwarded by proxies (RFC 9110, section 7.6.1).
+HOP_BY_HOP_HEADERS = frozenset(
     (
         b"connection",
         b"keep-alive",
@@ -45,21 +45,21 @@
 
 
 def end_to_end_headers(headers: Headers) -> Headers:
-    """Return the headers without those that concern one connection only."""
-    dropped = set(HOP_HEADERS)
+    """Return the headers except hop-by-hop ones and those named by ``Connection``."""
+    dropped = set(HOP_BY_HOP_HEADERS)
     for key, value in headers:
         if key.lower() != b"connection":
             continue
         for name in value.split(b","):
             dropped.add(name.strip().lower())
-    # A ``Connection`` header may not strip what frames or routes a request.
+    # A ``Connection`` header must not remove the headers that frame or route a request.
     dropped -= {b"host", b"content-length"}
     return [(key, value) for key, value in headers if key.lower() not in dropped]
 
 
 @dataclass(slots=True)
 class RequestHead:
-    """The head of a caller's request, with its target as sent."""
+    """The head of a caller's request; ``target`` is as received."""
 
     method: bytes
     target: bytes
@@ -68,7 +68,7 @@
 
     @property
     def path(self) -> bytes:
-        """The target without its query."""
+        """The target without its query string."""
         return self.target.partition(b"?")[0]
 
     def header(self, name: bytes) -> bytes | None:
@@ -101,7 +101,7 @@
 def encode_request(
     method: bytes, target: bytes, headers: Headers, body: bytes
 ) -> bytes:
-    """Return a request as bytes; a body is sent with its length."""
+    """Return a request as bytes, with ``Content-Length`` if it may have a body."""
     lines = [method + b" " + target + b" HTTP/1.1"]
     for key, value in headers:
         lines.append(key + b": " + value)
@@ -111,7 +111,7 @@
 
 
 def encode_response_head(status: int, reason: bytes, headers: Headers) -> bytes:
-    """Return the head of a response as bytes."""
+    """Return the head of a response as bytes; ``reason`` defaults by status."""
     reason = reason or REASON_PHRASES.get(status, b"")
     lines = [b"HTTP/1.1 %d %s" % (status, reason)]
     for key, value in headers:
@@ -120,7 +120,7 @@
 
 
 __all__ = [
-    "HOP_HEADERS",
+    "HOP_BY_HOP_HEADERS",
     "Headers",
     "RequestHead",
     "Response",
--- a/packages/router/src/hemlockhall_router/connection/pool.py
+++ b/packages/router/src/hemlockhall_router/connection/pool.py
@@ -1,4 +1,4 @@
-"""Idle connections to endpoints, kept for the next request."""
+"""Pool of idle connections to endpoints."""
 
 from __future__ import annotations
 
@@ -12,25 +12,23 @@
 
 Address = tuple[str, int]
 
-# Seconds an idle connection is kept when the endpoint names no time; below
-# the usual idle timeout of HTTP servers of 5 s.
-IDLE_S = 4.0
-# Part of the endpoint's own idle timeout that is used: the rest covers the
-# time that its close takes to arrive here.
-IDLE_SHARE = 0.6
-# Idle connections kept for an endpoint; more are closed at once, because an
-# endpoint accepts a bounded number from all hosts together.
-IDLE_MAX = 16
+# Used if the endpoint states no idle timeout; below the 5 s common to HTTP servers.
+IDLE_TIMEOUT_S = 4.0
+# Fraction of the endpoint's stated idle timeout: the rest covers the delay until its
+# close arrives here.
+IDLE_TIMEOUT_FRACTION = 0.6
+# Bounded because an endpoint accepts a limited number of connections from all hosts.
+MAX_IDLE_PER_ENDPOINT = 16
 
 
 class ConnectionPool:
-    """Idle connections by address."""
+    """Idle connections by address; safe for concurrent tasks."""
 
     def __init__(self) -> None:
         self._idle: dict[Address, list[ClientConnection]] = {}
 
     async def take_idle(self, address: Address) -> ClientConnection | None:
-        """Return an idle connection that is still sound, or None."""
+        """Return a usable idle connection, or None; close unusable ones."""
         idle = self._idle.get(address, [])
         while idle:
             conn = idle.pop()
@@ -40,7 +38,7 @@
         return None
 
     async def acquire(self, address: Address, deadline: float) -> ClientConnection:
-        """Return an idle connection, or a new one."""
+        """Return an idle connection, or open one before ``deadline``."""
         conn = await self.take_idle(address)
         if conn is not None:
             return conn
@@ -49,42 +47,41 @@
     async def release(
         self, address: Address, conn: ClientConnection, head: ResponseHead
     ) -> None:
-        """Keep a connection after a complete answer, or close it."""
+        """Return a connection to the pool after a complete response, or close it."""
         idle = self._idle.setdefault(address, [])
-        if not conn.reusable or len(idle) >= IDLE_MAX:
+        if not conn.reusable or len(idle) >= MAX_IDLE_PER_ENDPOINT:
             await conn.close()
             return
-        conn.idle_deadline = time.monotonic() + _idle_s(head)
+        conn.idle_deadline = time.monotonic() + _idle_timeout_s(head)
         idle.append(conn)
 
     async def close_expired(self) -> None:
-        """Close the connections whose time is over."""
-        # The lists are changed before anything is awaited: requests take
-        # connections from them meanwhile.
-        ended: list[ClientConnection] = []
+        """Close the connections that expired or are no longer usable."""
+        # Update the lists before awaiting: meanwhile requests take connections.
+        expired: list[ClientConnection] = []
         for address in list(self._idle):
-            sound: list[ClientConnection] = []
+            usable: list[ClientConnection] = []
             for conn in self._idle[address]:
-                (sound if conn.is_usable() else ended).append(conn)
-            self._idle[address] = sound
-            if not sound:
+                (usable if conn.is_usable() else expired).append(conn)
+            self._idle[address] = usable
+            if not usable:
                 del self._idle[address]
-        for conn in ended:
+        for conn in expired:
             await conn.close()
 
-    async def drop(self, address: Address) -> None:
+    async def close_idle(self, address: Address) -> None:
         """Close the idle connections to an address."""
         for conn in self._idle.pop(address, []):
             await conn.close()
 
 
-def _idle_s(head: ResponseHead) -> float:
+def _idle_timeout_s(head: ResponseHead) -> float:
     value = head.header(b"keep-alive") or b""
     for part in value.split(b","):
         key, _, seconds = part.strip().partition(b"=")
         if key.lower() == b"timeout" and seconds.isdigit():
-            return min(IDLE_S, int(seconds) * IDLE_SHARE)
-    return IDLE_S
+            return min(IDLE_TIMEOUT_S, int(seconds) * IDLE_TIMEOUT_FRACTION)
+    return IDLE_TIMEOUT_S
 
 
 __all__ = [
--- a/packages/router/src/hemlockhall_router/process/frontend.py
+++ b/packages/router/src/hemlockhall_router/process/frontend.py
@@ -120,7 +120,7 @@
                     self._idle.discard(idle)
         except CallerError as exc:
             self._context.metrics.count_refusal(RefusalReason.UNREADABLE)
-            await reader.refuse(exc)
+            await reader.send_error(exc)
             return False
         if head is None:
             return False
@@ -138,7 +138,7 @@
             body = await reader.read_body(deadline)
         except CallerError as exc:
             self._context.metrics.count_refusal(RefusalReason.UNREADABLE)
-            await reader.refuse(exc)
+            await reader.send_error(exc)
             return False
         gone = False
         async with anyio.create_task_group() as group:
@@ -162,7 +162,7 @@
             return False
         reader.finish_request()
         if reply.close_connection and reply.complete:
-            await reader.linger()
+            await reader.lingering_close()
         return reply.complete and not reply.close_connection
 
     async def _answer(
