--- a/packages/router/src/hemlockhall_router/process/__init__.py
+++ b/packages/router/src/hemlockhall_router/process/__init__.py
@@ -1,1 +1,1 @@
-"""What lives as long as the process."""
+"""Components that live as long as the router process."""
--- a/packages/router/src/hemlockhall_router/process/dialect.py
+++ b/packages/router/src/hemlockhall_router/process/dialect.py
@@ -1,4 +1,4 @@
-"""How callers, endpoints and the store are spoken to."""
+"""Interface to a platform: header names, formats and control API calls."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
 
 class DecodeError(Exception):
-    """Bytes that do not say what they should; the text tells the place."""
+    """A row or report could not be decoded; the text names the field or row."""
 
 
 @dataclass(slots=True, frozen=True)
 class HeaderNames:
-    """Names of headers, in lower case.
+    """Names of HTTP headers, in lower case.
 
-    ``request_id`` names a caller's attempt and is echoed by endpoints.
-    ``not_executed`` stands in answers to requests that did not run. ``signature``
-    proves that an answer is an endpoint's. ``failed_endpoint`` names the endpoint on
-    a path that failed it.
+    ``request_id`` identifies a request and is echoed by endpoints.
+    ``not_executed`` marks responses to requests that were not executed.
+    ``signature`` marks a response as sent by an endpoint. ``failed_endpoint`` names
+    the endpoint on the path that refused or failed the request.
     """
 
     request_id: bytes
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointCall:
-    """A call of this host to an endpoint's own interface."""
+    """An HTTP request of this host to an endpoint's control API."""
 
     method: bytes
     target: bytes
@@ -57,59 +57,66 @@
 
 @dataclass(slots=True, frozen=True)
 class TokenCounts:
-    """Sizes of a generation: prompt tokens and most output tokens."""
+    """Number of prompt tokens and maximum number of output tokens."""
 
     prompt: int
     max_output: int
 
 
 class Dialect(ABC):
-    """Names, formats and calls; nothing here decides anything."""
+    """Names and formats of one platform; holds no routing logic."""
 
     headers: HeaderNames
     ready_path: bytes
 
     @abstractmethod
     def open_store(self, address: str) -> Store:
-        """Return the store at an address."""
+        """Return a client of the store at ``address``, an IP number and a port."""
 
     @abstractmethod
     def decode_routing(self, key: str, value: bytes) -> RoutingConfig | None:
-        """Decode a row of the routing table; None if it holds none."""
+        """Decode a row of the routing table; None if it holds no configuration.
+
+        Raises
+        ------
+        DecodeError
+            If the row is invalid.
+        """
 
     @abstractmethod
     def decode_endpoint(self, key: str, value: bytes) -> Endpoint | None:
-        """Decode a row of the endpoint table; None if it names no endpoint."""
+        """Decode a row of the endpoint table; None if the row is invalid."""
 
     @abstractmethod
     def decode_token_counts(self, head: RequestHead) -> TokenCounts | None:
-        """Return the sizes that a request for a generation states."""
+        """Return the token counts that a request states, or None."""
 
     @abstractmethod
     def encode_path(self, path: Path) -> bytes:
-        """Encode a path for its header."""
+        """Encode a path as a header value."""
 
     @abstractmethod
     def report_call(self) -> EndpointCall:
-        """Return the call that asks an endpoint for its state."""
+        """Return the call that requests an endpoint's report."""
 
     @abstractmethod
     def decode_report(self, body: bytes) -> EndpointReport:
-        """Decode the answer to ``report_call``; raise ``DecodeError``."""
+        """Decode the response to ``report_call``, or raise ``DecodeError``."""
 
     @abstractmethod
     def assign_layers_call(
-        self, layers: LayerRange, orders: int, fence: int, *, immediate: bool
+        self, layers: LayerRange, order_count: int, fence: int, *, immediate: bool
     ) -> EndpointCall:
-        """Return the order to hold layers if ``orders`` were begun so far.
+        """Return the order that assigns layers to an endpoint.
 
-        Layers that are given up serve what runs on them to its end, unless
-        they are given up ``immediate``.
+        The endpoint rejects it unless it has begun ``order_count`` orders so far.
+        Requests that run on layers which it no longer has finish first, unless
+        ``immediate`` is true.
         """
 
     @abstractmethod
     def reroute_call(self, request_id: bytes, path: Path) -> EndpointCall:
-        """Return the order to move a running request to another path."""
+        """Return the order that moves a running request to another path."""
 
 
 DIALECTS: dict[str, type[Dialect]] = {}
@@ -118,17 +125,17 @@
 
 
 def dialect(name: str) -> Callable[[D], D]:
-    """Register a dialect under the name that settings use."""
+    """Register a dialect under the name used in the settings file."""
 
-    def add(kind: D) -> D:
-        DIALECTS[name] = kind
-        return kind
+    def register(cls: D) -> D:
+        DIALECTS[name] = cls
+        return cls
 
-    return add
+    return register
 
 
 def load_dialect(name: str, module: str) -> Dialect:
-    """Return the dialect ``name`` that ``module`` registers."""
+    """Import ``module`` and return the dialect that it registers as ``name``."""
     importlib.import_module(module)
     return DIALECTS[name]()
 
--- a/packages/router/src/hemlockhall_router/process/frontend.py
+++ b/packages/router/src/hemlockhall_router/process/frontend.py
@@ -1,4 +1,4 @@
-"""Connections of callers: one task each, requests one after another."""
+"""Connections of callers: one task each, which serves requests in sequence."""
 
 from __future__ import annotations
 
@@ -28,20 +28,20 @@
     from hemlockhall_router.request.relay import RelayContext
     from hemlockhall_router.version.routing import Customer, Route, RoutingConfig
 
-# Seconds a caller waits that states no deadline.
-DEADLINE_S = 30.0
-# Seconds an answer of a plain service takes at most, but for rare ones.
-PLAIN_S = 0.5
-# Seconds between two tokens on a usual path with some load.
-TOKEN_S = 0.015
-# Retry-After while this host is about to end: another one takes the request.
-LEAVE_AGAIN_S = 0.1
-# Retry-After while no configuration is known yet, in seconds.
-START_AGAIN_S = 1.0
+# Time limit of a request without a deadline header.
+DEFAULT_TIMEOUT_S = 30.0
+# Nearly all requests to a service without streaming take less.
+PLAIN_RESPONSE_S = 0.5
+# Time between two tokens on a typical path under moderate load.
+TOKEN_INTERVAL_S = 0.015
+# Retry-After while this host shuts down: the retry reaches another host.
+RETRY_AFTER_LEAVING_S = 0.1
+# Retry-After before the first configuration has been received.
+RETRY_AFTER_STARTING_S = 1.0
 
 
-class _Refused(Exception):
-    """The request is not relayed; the answer is this host's own."""
+class _RefusedError(Exception):
+    """The request is not relayed; this host answers it with ``status``."""
 
     def __init__(self, refusal: RefusalReason, status: int, text: str) -> None:
         super().__init__(text)
@@ -51,14 +51,14 @@
 
 
 class Frontend:
-    """Serves callers.
+    """Serves connections of callers.
 
     Parameters
     ----------
     context : RelayContext
-        What relaying uses.
+        Components that a relay uses.
     routing : callable
-        Returns the configuration in force, or None.
+        Returns the configuration in force, or None before the first one.
     """
 
     def __init__(
@@ -67,46 +67,47 @@
         self._context = context
         self._routing = routing
         self._idle: set[anyio.CancelScope] = set()
-        self._notice = self._end = float("inf")
+        self._accept_until = self._exit_at = float("inf")
         self.open_requests = 0
 
     @property
     def leaving(self) -> bool:
-        """Whether this host is about to end."""
-        return self._end != float("inf")
+        """Whether this host is shutting down."""
+        return self._exit_at != float("inf")
 
-    def leave(self, notice: float, end: float) -> None:
-        """Take only requests that will be answered before ``end``.
+    def leave(self, accept_until: float, exit_at: float) -> None:
+        """Refuse requests that are not expected to finish before ``exit_at``.
 
-        Until ``notice`` all are taken: callers cannot know yet that this host
-        ends, and nearly all answers fit.
+        Both times are monotonic. Until ``accept_until`` all requests are accepted:
+        the load balancer still sends new connections here, and nearly all requests
+        finish in time.
         """
-        self._notice = notice
-        self._end = end
+        self._accept_until = accept_until
+        self._exit_at = exit_at
 
     def close_idle(self) -> None:
-        """End the connections that carry no request."""
+        """Close the connections that wait for a request."""
         for scope in list(self._idle):
             scope.cancel()
 
     async def serve(self, stream: SocketStream) -> None:
-        """Serve one connection until either side ends it."""
+        """Serve one connection until either side closes it."""
         routing = self._routing()
         reader = CallerReader(stream, routing.limits if routing else CallerLimits())
         try:
-            while await self._next(reader):
+            while await self._serve_request(reader):
                 continue
         except CallerDisconnectedError:
             return
         except Exception:  # noqa: BLE001
-            # One connection's fault must not end the others' requests.
+            # An error in one task would cancel the tasks of all connections.
             logger.exception("connection failed")
         finally:
             with anyio.CancelScope(shield=True):
                 await anyio.aclose_forcefully(stream)
 
-    async def _next(self, reader: CallerReader) -> bool:
-        """Serve one request; return whether another may follow."""
+    async def _serve_request(self, reader: CallerReader) -> bool:
+        """Serve one request; return whether the connection may carry another."""
         routing = self._routing()
         if routing is not None:
             reader.limits = routing.limits
@@ -126,93 +127,99 @@
             return False
         self.open_requests += 1
         try:
-            return await self._exchange(reader, head)
+            return await self._handle_request(reader, head)
         finally:
             self.open_requests -= 1
 
-    async def _exchange(self, reader: CallerReader, head: RequestHead) -> bool:
+    async def _handle_request(self, reader: CallerReader, head: RequestHead) -> bool:
         arrived = time.monotonic()
-        deadline = arrived + self._patience_s(head)
-        reply = ResponseWriter(reader, head, lambda: self.leaving or reader.close_after)
+        deadline = arrived + self._requested_timeout_s(head)
+        response = ResponseWriter(
+            reader, head, lambda: self.leaving or reader.close_after
+        )
         try:
             body = await reader.read_body(deadline)
         except CallerError as exc:
             self._context.metrics.count_refusal(RefusalReason.UNREADABLE)
             await reader.send_error(exc)
             return False
-        gone = False
+        disconnected = False
         async with anyio.create_task_group() as group:
 
             async def watch() -> None:
-                nonlocal gone
+                nonlocal disconnected
                 await reader.wait_disconnect()
-                gone = True
+                disconnected = True
                 group.cancel_scope.cancel()
 
             group.start_soon(watch)
             try:
-                await self._answer(head, body, deadline, arrived, reply)
+                await self._relay(head, body, deadline, arrived, response)
             except CallerDisconnectedError:
-                gone = True
+                disconnected = True
             group.cancel_scope.cancel()
-        self._context.metrics.count_response(0 if gone else reply.status)
-        if gone:
-            # Leaving closed the connections to the endpoints, which stops them.
-            logger.info("caller left", request=self._id(head).decode("latin-1"))
+        self._context.metrics.count_response(0 if disconnected else response.status)
+        if disconnected:
+            # Cancelling the relay closed its connections, so the endpoints stop.
+            logger.info("caller left", request=self._request_id(head).decode("latin-1"))
             return False
         reader.finish_request()
-        if reply.close_connection and reply.complete:
+        if response.close_connection and response.complete:
             await reader.lingering_close()
-        return reply.complete and not reply.close_connection
+        return response.complete and not response.close_connection
 
-    async def _answer(
+    async def _relay(
         self,
         head: RequestHead,
         body: bytes,
         deadline: float,
         arrived: float,
-        reply: ResponseWriter,
+        response: ResponseWriter,
     ) -> None:
         try:
-            work = self._work(head, body, deadline, arrived)
-        except _Refused as exc:
+            request = self._route_request(head, body, deadline, arrived)
+        except _RefusedError as exc:
             self._context.metrics.count_refusal(exc.refusal)
             logger.info(
                 "request refused",
-                request=self._id(head).decode("latin-1"),
+                request=self._request_id(head).decode("latin-1"),
                 reason=exc.refusal.value,
-                version=self._version(),
+                version=self._config_version(),
             )
-            again_s = None
+            retry_after_s = None
             if exc.status == 503:
-                again_s = LEAVE_AGAIN_S if self.leaving else START_AGAIN_S
-            await reply.local_reply(exc.status, exc.text, again_s)
+                retry_after_s = (
+                    RETRY_AFTER_LEAVING_S if self.leaving else RETRY_AFTER_STARTING_S
+                )
+            await response.local_reply(exc.status, exc.text, retry_after_s)
             return
-        self._context.retry_budget.record_request(work.service.name)
-        if work.route.kind is RouteKind.STREAM and work.service.model is not None:
-            await StreamRelay(work, self._context, reply).run()
+        self._context.retry_budget.record_request(request.service.name)
+        if request.route.kind is RouteKind.STREAM and request.service.model is not None:
+            await StreamRelay(request, self._context, response).run()
         else:
-            await PlainRelay(work, self._context, reply).run()
+            await PlainRelay(request, self._context, response).run()
 
-    def _work(
+    def _route_request(
         self, head: RequestHead, body: bytes, deadline: float, arrived: float
     ) -> RoutedRequest:
         routing = self._routing()
         if routing is None:
-            raise _Refused(
+            raise _RefusedError(
                 RefusalReason.NO_CONFIGURATION, 503, "no configuration is known yet"
             )
         route = routing.match(head)
         if route is None:
-            raise _Refused(
+            raise _RefusedError(
                 RefusalReason.NO_ROUTE, 404, "no route has this host and path"
             )
         customer = self._customer(routing, route, head)
         tokens = self._context.dialect.decode_token_counts(head)
         now = time.monotonic()
-        if now > self._notice and self._end - now < _usual_s(route, tokens):
-            raise _Refused(RefusalReason.LEAVING, 503, "this host is about to end")
-        name = _target(route)
+        if now > self._accept_until and self._exit_at - now < _expected_duration_s(
+            route, tokens
+        ):
+            raise _RefusedError(RefusalReason.LEAVING, 503, "this host is about to end")
+        name = _choose_service(route)
         service = routing.services.get(name) or Service(name, "/", 0)
         return RoutedRequest(
             head=head,
@@ -220,7 +227,7 @@
             route=route,
             service=service,
             customer=customer,
-            id=self._id(head),
+            id=self._request_id(head),
             deadline=min(deadline, arrived + route.timeout_s),
             token_counts=tokens,
         )
@@ -233,31 +240,36 @@
         if not routing.keys_required or route.public:
             return customer
         if customer is None:
-            raise _Refused(RefusalReason.UNKNOWN_KEY, 401, "the API key is not known")
+            raise _RefusedError(
+                RefusalReason.UNKNOWN_KEY, 401, "the API key is not known"
+            )
         return customer
 
-    def _patience_s(self, head: RequestHead) -> float:
+    def _requested_timeout_s(self, head: RequestHead) -> float:
         value = head.header(self._context.dialect.headers.deadline_ms)
         if value is None or not value.strip().isdigit():
-            return DEADLINE_S
+            return DEFAULT_TIMEOUT_S
         return int(value) / 1000
 
-    def _id(self, head: RequestHead) -> bytes:
+    def _request_id(self, head: RequestHead) -> bytes:
         return head.header(self._context.dialect.headers.request_id) or b""
 
-    def _version(self) -> int:
+    def _config_version(self) -> int:
         routing = self._routing()
         return routing.version if routing else 0
 
 
-def _usual_s(route: Route, tokens: TokenCounts | None) -> float:
-    """Return how long an answer usually takes, in seconds."""
+def _expected_duration_s(route: Route, tokens: TokenCounts | None) -> float:
+    """Return the typical duration of a request."""
     if route.kind is not RouteKind.STREAM:
-        return min(route.timeout_s, PLAIN_S)
-    return route.latency_objective_s + (tokens.max_output if tokens else 0) * TOKEN_S
+        return min(route.timeout_s, PLAIN_RESPONSE_S)
+    return (
+        route.latency_objective_s
+        + (tokens.max_output if tokens else 0) * TOKEN_INTERVAL_S
+    )
 
 
-def _target(route: Route) -> str:
+def _choose_service(route: Route) -> str:
     if len(route.targets) == 1:
         return route.targets[0].service
     weights = [target.weight for target in route.targets]
--- a/packages/router/src/hemlockhall_router/process/log.py
+++ b/packages/router/src/hemlockhall_router/process/log.py
@@ -1,4 +1,4 @@
-"""Structured log lines on standard output, bounded and never blocking."""
+"""Structured log lines on standard output, rate-limited and non-blocking."""
 
 from __future__ import annotations
 
@@ -15,66 +15,66 @@
 
     from hemlockhall_router.process.metric import Metrics
 
-# Lines of one kind in a second, so that logging stays below a tenth of a core.
-LINES_PER_S = 40
-# A line is written to a pipe whole or not at all up to this size.
-LINE_BYTES = 4000
+# Per event name, errors excepted; keeps logging below a tenth of a core.
+MAX_LINES_PER_S = 40
+# Writes of up to PIPE_BUF (4096) bytes to a pipe are atomic.
+MAX_LINE_BYTES = 4000
 
 
-class Sink:
-    """Writes records as lines of JSON; drops what would block."""
+class JsonSink:
+    """Writes records as lines of JSON and drops those that would block."""
 
     def __init__(self, host: str, metrics: Metrics) -> None:
         self._host = host
         self._metrics = metrics
         self._second = 0
         self._counts: dict[str, int] = {}
-        self._left_out = 0
+        self._dropped = 0
         os.set_blocking(sys.stdout.fileno(), False)
 
     def write(self, message: Message) -> None:
         """Write one record."""
         record = message.record
-        kind = record["message"]
+        event = record["message"]
         second = int(time.monotonic())
         if second != self._second:
             self._second = second
             self._counts.clear()
-        count = self._counts.get(kind, 0) + 1
-        self._counts[kind] = count
-        if count > LINES_PER_S and record["level"].no < 40:
-            self._drop()
+        count = self._counts.get(event, 0) + 1
+        self._counts[event] = count
+        if count > MAX_LINES_PER_S and record["level"].no < 40:
+            self._count_dropped()
             return
         line = {
             "t": record["time"].isoformat(timespec="milliseconds"),
             "level": record["level"].name,
             "host": self._host,
-            "event": kind,
+            "event": event,
             **record["extra"],
         }
         if record["exception"] is not None:
             line["exception"] = str(message)[-1500:]
-        if self._left_out:
-            line["lines_left_out"] = self._left_out
-        data = msgspec.json.encode(line, enc_hook=str)[:LINE_BYTES] + b"\n"
+        if self._dropped:
+            line["lines_left_out"] = self._dropped
+        data = msgspec.json.encode(line, enc_hook=str)[:MAX_LINE_BYTES] + b"\n"
         try:
             os.write(sys.stdout.fileno(), data)
         except OSError:
-            # A reader that stands still costs lines, never a request.
-            self._drop()
+            # A stalled reader of the pipe must not block requests.
+            self._count_dropped()
             return
-        self._left_out = 0
+        self._dropped = 0
 
-    def _drop(self) -> None:
-        self._left_out += 1
+    def _count_dropped(self) -> None:
+        self._dropped += 1
         self._metrics.count("log_lines_left_out", "all")
 
 
 def configure(host: str, level: str, metrics: Metrics) -> None:
     """Send all records of this process to standard output."""
     logger.remove()
-    sink = Sink(host, metrics)
-    # ``diagnose`` would print the values of variables, keys among them.
+    sink = JsonSink(host, metrics)
+    # ``diagnose`` prints the values of variables, which may be API keys.
     logger.add(sink.write, level=level, format="{message}", diagnose=False)
 
 
--- a/packages/router/src/hemlockhall_router/process/metric.py
+++ b/packages/router/src/hemlockhall_router/process/metric.py
@@ -1,7 +1,7 @@
 """Counters and latency histograms of the router, as Prometheus text.
 
-The text is written here: the exporter's library takes 14 MB of each host, and
-memory is billed; counters and summaries need a few lines.
+Rendered without the Prometheus client library, which adds 14 MB of billed memory
+to each host.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 if TYPE_CHECKING:
     from enum import Enum
 
-# Percentiles that are shown of each histogram.
+# Percentiles rendered of each histogram.
 QUANTILES = (50.0, 95.0, 99.0)
 
 
 class Metrics:
-    """All counters; each reason exists from the start at 0."""
+    """All counters; those of known reasons start at 0."""
 
     def __init__(self) -> None:
         self._counters: dict[str, dict[str, int]] = {
@@ -40,42 +40,42 @@
         )
 
     def count_refusal(self, reason: RefusalReason) -> None:
-        """Count an answer of this host's own."""
-        self._count("refusals", reason)
+        """Count a request that this host refused itself."""
+        self._increment("refusals", reason)
 
     def count_retry(self, reason: RetryReason) -> None:
-        """Count a failed try."""
-        self._count("retries", reason)
+        """Count a failed attempt."""
+        self._increment("retries", reason)
 
     def count_response(self, status: int) -> None:
-        """Count an answer by status; 0 stands for a caller that left."""
+        """Count a response by status; 0 means that the caller disconnected."""
         self.count("answers", str(status))
 
     def count(self, name: str, label: str) -> None:
-        """Count under a label."""
+        """Increment the counter ``name`` with the given label value."""
         labels = self._counters.setdefault(name, {})
         labels[label] = labels.get(label, 0) + 1
 
-    def _count(self, name: str, reason: Enum) -> None:
+    def _increment(self, name: str, reason: Enum) -> None:
         self.count(name, reason.value)
 
     def render(self) -> bytes:
-        """Return everything in the Prometheus text format."""
+        """Return all metrics in the Prometheus text format."""
         lines = []
         for name, labels in self._counters.items():
             lines.append(f"# TYPE hemlockhall_{name} counter")
             for label, count in labels.items():
                 lines.append(f'hemlockhall_{name}_total{{label="{label}"}} {count}')
         for latency in (self.first_event, self.longest_pause, self.response_time):
-            lines += _summary(latency)
+            lines += _render_summary(latency)
         return "\n".join(lines).encode() + b"\n"
 
 
-def _summary(latency: Latency) -> list[str]:
+def _render_summary(latency: Latency) -> list[str]:
     lines = [f"# TYPE {latency.name} summary"]
-    for percent in QUANTILES:
-        value = latency.quantile(percent)
-        lines.append(f'{latency.name}{{quantile="{percent / 100}"}} {value:.6f}')
+    for percentile in QUANTILES:
+        value = latency.quantile(percentile)
+        lines.append(f'{latency.name}{{quantile="{percentile / 100}"}} {value:.6f}')
     lines.append(f"{latency.name}_sum {latency.sum:.6f}")
     lines.append(f"{latency.name}_count {latency.count}")
     return lines
--- a/packages/router/src/hemlockhall_router/process/outage.py
+++ b/packages/router/src/hemlockhall_router/process/outage.py
@@ -1,4 +1,4 @@
-"""Whether entries of endpoints that vanished may come back."""
+"""Grace period for endpoint entries that lapse during a store outage."""
 
 from __future__ import annotations
 
@@ -11,69 +11,70 @@
     from hemlockhall_router.process.timing import Timing
     from hemlockhall_router.process.watch import Watch
 
-# Seconds for which a host has followed the store before it can say that entries
-# are missing for good.
-STEADY_S = 1.0
-# Seconds for which entries that lapsed while the store was away may still
-# come back after its return; the platform names two, the rest is its lag.
-RETURN_S = 2.2
+# Time of connection to the store after which this host counts as stable: only then
+# can it tell that an entry was removed and has not just lapsed.
+STABLE_AFTER_S = 1.0
+# Time after the store's return in which endpoints renew lapsed entries: the platform
+# states 2 s, the rest allows for its delay.
+ENTRY_RENEWAL_S = 2.2
 
 
 class StoreOutage:
-    """What this host's loss of the store says about missing entries.
+    """Decides whether a missing entry may have lapsed during a store outage.
 
     Parameters
     ----------
     watch : Watch
-        The copy of the table of endpoints.
-    others_steady : callable
-        Returns whether a live host has had the store all the while.
+        Cached copy of the endpoint table.
+    peer_store_stable : callable
+        Returns whether a live peer is connected and has not lost the store lately.
     timing : Timing
-        How long a loss of the store counts.
+        Source of the entry grace time.
     """
 
     def __init__(
-        self, watch: Watch, others_steady: Callable[[], bool], timing: Timing
+        self, watch: Watch, peer_store_stable: Callable[[], bool], timing: Timing
     ) -> None:
         self._watch = watch
-        self._others_steady = others_steady
+        self._peer_store_stable = peer_store_stable
         self._timing = timing
 
     @property
     def store_stable(self) -> bool:
-        """Whether this host has the store and has not lost it lately."""
+        """Whether this host is connected and has not lost the store recently."""
         watch = self._watch
-        if not watch.connected or self._lost_lately():
+        if not watch.connected or self._lost_recently():
             return False
-        # One that took over a moment ago cannot tell what was before.
-        return time.monotonic() - watch.regained_at > STEADY_S
+        # A host that connected just now does not know what happened before.
+        return time.monotonic() - watch.connected_at > STABLE_AFTER_S
 
     def grace_deadline(self) -> float:
-        """Return the monotonic time until which entries may come back, or 0.
+        """Return the monotonic time until which lapsed entries are kept, or 0.
 
-        Endpoints that could not reach the store while it was down lapse there
-        although they live. If only this host lost it, the endpoints did not,
-        and a missing entry means that the endpoint left. Kept in use, it would
-        get requests long after the other hosts have dropped it. One host that
-        had the store all the while is enough to tell the two apart.
+        Entries of live endpoints lapse if the endpoints cannot reach the store to
+        renew them. If the store was down for this host only, the endpoints could
+        renew them, so a missing entry means that the endpoint left. Keeping it
+        would send requests there long after the other hosts dropped it. One peer
+        with a stable connection to the store is enough to rule out an outage.
         """
         watch = self._watch
-        if self._others_steady():
+        if self._peer_store_stable():
             return 0.0
         if not watch.connected:
-            return time.monotonic() + RETURN_S
-        if not self._lost_lately():
+            return time.monotonic() + ENTRY_RENEWAL_S
+        if not self._lost_recently():
             return 0.0
-        return max(watch.regained_at, watch.lost_at) + RETURN_S
+        return max(watch.connected_at, watch.last_failure_at) + ENTRY_RENEWAL_S
 
-    def _lost_lately(self) -> bool:
-        lost_at = self._watch.lost_at
+    def _lost_recently(self) -> bool:
+        last_failure_at = self._watch.last_failure_at
         return (
-            lost_at > 0.0 and time.monotonic() - lost_at <= self._timing.entry_grace_s
+            last_failure_at > 0.0
+            and time.monotonic() - last_failure_at <= self._timing.entry_grace_s
         )
 
 
 __all__ = [
-    "RETURN_S",
+    "ENTRY_RENEWAL_S",
     "StoreOutage",
 ]
--- a/packages/router/src/hemlockhall_router/process/router.py
+++ b/packages/router/src/hemlockhall_router/process/router.py
@@ -47,18 +47,18 @@
     from hemlockhall_router.process.store import Row
     from hemlockhall_router.version.routing import RoutingConfig
 
-# Seconds between two rounds of small upkeep.
-UPKEEP_S = 0.25
-# Seconds between two looks at the settings file, which may change unannounced.
-SETTINGS_S = 1.0
-# Seconds after SIGTERM until the balancer sends no new connections: it asks
-# each second and takes a host out after two misses.
-NOTICE_S = 3.0
-# Seconds before the platform ends this process; what is left by then is cut.
-END_MARGIN_S = 0.8
-# Seconds for giving the lease back at the end; far above a call to the store.
-RELEASE_S = 0.3
-BACKLOG = 1024
+MAINTENANCE_INTERVAL_S = 0.25
+# The settings file may change without a SIGHUP.
+SETTINGS_POLL_INTERVAL_S = 1.0
+# Time after SIGTERM until the load balancer sends no new connections: it checks
+# readiness each second and removes a host after two failures.
+DEREGISTRATION_S = 3.0
+# The process exits this long before the platform kills it; requests that are still
+# open then are aborted.
+EXIT_MARGIN_S = 0.8
+# Far above the duration of a call to the store.
+LEASE_RELEASE_TIMEOUT_S = 0.3
+LISTEN_BACKLOG = 1024
 
 
 class Router:
@@ -67,9 +67,11 @@
     Parameters
     ----------
     path : Path
-        The settings file; read again when it changes.
+        The settings file; reloaded when it changes.
     settings : RouterSettings
         Its contents.
+    metrics : Metrics
+        Counters and histograms of the process.
     """
 
     def __init__(self, path: Path, settings: RouterSettings, metrics: Metrics) -> None:
@@ -82,7 +84,7 @@
         self._store = self._dialect.open_store(settings.store.address)
         self.routing: RoutingConfig | None = None
         self._timing = Timing(settings.bounds)
-        own = Contact(
+        contact = Contact(
             host.name,
             settings.listen.hosts,
             host.data_centre,
@@ -90,14 +92,14 @@
             self._boot,
         )
         self.membership = Membership(
-            own,
+            contact,
             settings.seeds,
             self._store,
             self._timing,
-            self._describe,
-            self._suspect,
+            self._local_state,
+            self._probe_suspects,
             lambda keys: self.directory.apply_presumed_draining(keys),
-            lambda facts: self.directory.apply_layer_updates(facts),
+            lambda updates: self.directory.apply_layer_updates(updates),
             metrics,
         )
         self._routes_watch = self._watch(Table.ROUTING, self._routing_changed)
@@ -120,9 +122,12 @@
         self._prober = Prober(
             self._dialect, self.directory, self.membership.local_host_count
         )
-        pipes = DataCentreLinks(self.membership.data_centre_link_sharers)
+        data_centre_links = DataCentreLinks(self.membership.data_centre_link_sharers)
         chooser = Chooser(
-            self.directory, host.data_centre, pipes, self.membership.local_host_count
+            self.directory,
+            host.data_centre,
+            data_centre_links,
+            self.membership.local_host_count,
         )
         self._pool = ConnectionPool()
         context = RelayContext(
@@ -133,7 +138,7 @@
             self.budget,
             metrics,
             self._prober,
-            pipes,
+            data_centre_links,
         )
         self.frontend = Frontend(context, lambda: self.routing)
         self.leadership = Leadership(self.lease, self.membership)
@@ -150,16 +155,16 @@
         self._group: TaskGroup | None = None
 
     async def run(self) -> None:
-        """Serve until SIGTERM, then until the requests have ended."""
+        """Serve until SIGTERM, then until requests finish or the grace time ends."""
         logger.info("start", boot=self._boot, place=self._settings.host.data_centre)
-        # What is loaded by now lives as long as the process; looking through
-        # it again at each collection would only cost time.
+        # Objects loaded so far live as long as the process: scanning them in each
+        # garbage collection would only cost time.
         gc.freeze()
         listen = self._settings.listen
         async with anyio.create_task_group() as group:
             self._group = group
             group.start_soon(self._signals)
-            # Bound before this host can say that it is ready.
+            # The callers' port must accept before readiness is reported.
             await group.start(self._listen, listen.callers, self.frontend.serve)
             await group.start(self._listen, listen.ready, self._serve_ready)
             group.start_soon(self._routes_watch.run)
@@ -167,14 +172,16 @@
             group.start_soon(self.membership.run)
             group.start_soon(self._planner.run)
             group.start_soon(self._prober.run)
-            group.start_soon(self._upkeep)
-            group.start_soon(self._settings_watch)
+            group.start_soon(self._run_maintenance)
+            group.start_soon(self._watch_settings)
 
     @property
     def ready(self) -> bool:
-        """Whether new connections should come here."""
-        known = self._endpoints_watch.version > 0
-        return self.routing is not None and known and not self.frontend.leaving
+        """Whether the load balancer should send new connections here."""
+        endpoints_known = self._endpoints_watch.version > 0
+        return (
+            self.routing is not None and endpoints_known and not self.frontend.leaving
+        )
 
     async def _listen(
         self,
@@ -185,7 +192,7 @@
     ) -> None:
         host, _, port = address.rpartition(":")
         listener = await anyio.create_tcp_listener(
-            local_host=host, local_port=int(port), backlog=BACKLOG
+            local_host=host, local_port=int(port), backlog=LISTEN_BACKLOG
         )
         task_status.started()
         await listener.serve(serve)
@@ -198,7 +205,7 @@
                 if head is None:
                     return
                 await reader.read_body(time.monotonic() + 1.0)
-                await reader.send(self._state(head.path))
+                await reader.send(self._health_response(head.path))
                 reader.finish_request()
         except (CallerError, CallerDisconnectedError):
             return
@@ -206,7 +213,7 @@
             with anyio.CancelScope(shield=True):
                 await anyio.aclose_forcefully(stream)
 
-    def _state(self, path: bytes) -> bytes:
+    def _health_response(self, path: bytes) -> bytes:
         status, body = 404, b""
         if path == self._dialect.ready_path:
             status = 200 if self.ready else 503
@@ -236,21 +243,21 @@
         self.directory.apply_rows(rows)
 
     def _watch(self, table: Table, changed: Callable[[list[Row]], None]) -> Watch:
-        def taken(rows: list[Row]) -> None:
+        def on_change(rows: list[Row]) -> None:
             changed(rows)
             self.membership.push()
 
-        watch = Watch(self._store, table, taken, self.membership, self._timing)
+        watch = Watch(self._store, table, on_change, self.membership, self._timing)
         self.membership.share_table(watch)
         return watch
 
-    def _describe(self) -> LocalState:
+    def _local_state(self) -> LocalState:
         now = time.monotonic()
         loads = []
         down = []
         for record in self.directory.records.values():
             if record.in_flight:
-                heard_ms = min(
+                event_age_ms = min(
                     MAX_EVENT_AGE_MS, int((now - record.last_local_event_at) * 1000)
                 )
                 loads.append(
@@ -259,7 +266,7 @@
                         record.in_flight,
                         record.tokens,
                         record.prefill_tokens,
-                        heard_ms,
+                        event_age_ms,
                     )
                 )
             if record.down:
@@ -277,31 +284,31 @@
             usage=self.budget.usage(),
         )
 
-    def _suspect(self, keys: list[int]) -> None:
+    def _probe_suspects(self, keys: list[int]) -> None:
         suspects = set(keys)
-        known = []
+        endpoint_ids = []
         for record in self.directory.records.values():
             if record.key in suspects and not record.down:
-                known.append(record.endpoint.id)
-        self._prober.request_probes(known)
+                endpoint_ids.append(record.endpoint.id)
+        self._prober.request_probes(endpoint_ids)
 
-    async def _upkeep(self) -> None:
+    async def _run_maintenance(self) -> None:
         while True:
-            await anyio.sleep(UPKEEP_S)
+            await anyio.sleep(MAINTENANCE_INTERVAL_S)
             self.directory.process_deadlines()
             self.directory.set_remote_loads(self.membership.peer_loads())
             await self._pool.close_expired()
 
-    async def _settings_watch(self) -> None:
+    async def _watch_settings(self) -> None:
         while True:
-            await anyio.sleep(SETTINGS_S)
+            await anyio.sleep(SETTINGS_POLL_INTERVAL_S)
             self._reload()
 
     def _reload(self) -> None:
         try:
             settings = load_settings(self._path)
         except SettingsError as exc:
-            logger.error("settings kept", cause=str(exc))
+            logger.error("settings not reloaded", cause=str(exc))
             return
         if settings == self._settings:
             return
@@ -322,18 +329,18 @@
                     self._group.start_soon(self.leave)
 
     async def leave(self) -> None:
-        """Serve on until the balancer has noticed, then end."""
+        """Shut down: serve until the load balancer has removed this host, then exit."""
         logger.info("leaving", open_requests=self.frontend.open_requests)
-        began = time.monotonic()
-        end = began + self._settings.leave.grace_s - END_MARGIN_S
-        self.frontend.leave(began + NOTICE_S, end)
+        started_at = time.monotonic()
+        exit_at = started_at + self._settings.leave.grace_s - EXIT_MARGIN_S
+        self.frontend.leave(started_at + DEREGISTRATION_S, exit_at)
         await self.leadership.resign()
-        await anyio.sleep(max(0.0, began + NOTICE_S - time.monotonic()))
-        while self.frontend.open_requests and time.monotonic() < end:
+        await anyio.sleep(max(0.0, started_at + DEREGISTRATION_S - time.monotonic()))
+        while self.frontend.open_requests and time.monotonic() < exit_at:
             self.frontend.close_idle()
             await anyio.sleep(0.05)
         self.frontend.close_idle()
-        with anyio.move_on_after(RELEASE_S):
+        with anyio.move_on_after(LEASE_RELEASE_TIMEOUT_S):
             await self.lease.release()
         logger.info("end", open_requests=self.frontend.open_requests)
         assert self._group is not None
--- a/packages/router/src/hemlockhall_router/process/setting.py
+++ b/packages/router/src/hemlockhall_router/process/setting.py
@@ -1,4 +1,4 @@
-"""Settings of the router: a TOML file, checked whole."""
+"""Settings of the router: a TOML file, validated when loaded."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 class SettingsError(Exception):
-    """The settings cannot be used; the text names place and fix."""
+    """The settings are invalid; the text names the field and the fix."""
 
 
 class HostSection(msgspec.Struct, frozen=True, kw_only=True):
-    """Who this host is, and whose names it speaks."""
+    """Name, dialect and capacity of this host."""
 
     name: str
     data_centre: str
@@ -28,12 +28,12 @@
 
     @property
     def capacity(self) -> int:
-        """Rank among hosts, by what its processor and its link carry."""
+        """Rank among hosts by processor and link capacity."""
         return round(self.cores * self.cpu_share * self.link_mbps)
 
 
 class ListenSection(msgspec.Struct, frozen=True, kw_only=True):
-    """Addresses: for callers, the balancer's questions, and other hosts."""
+    """Addresses for callers, for readiness checks and metrics, and for other hosts."""
 
     callers: str
     ready: str
@@ -41,13 +41,17 @@
 
 
 class StoreSection(msgspec.Struct, frozen=True, kw_only=True):
-    """The store that keeps what must last."""
+    """The store of the routing table, endpoints, hosts and the lease."""
 
     address: str
 
 
 class RetrySection(msgspec.Struct, frozen=True, kw_only=True):
-    """The allowance of repeats, over all hosts together."""
+    """The retry budget of all hosts together.
+
+    In a window of ``window_s`` seconds, ``ratio`` retries per request and ``constant``
+    further retries are permitted.
+    """
 
     ratio: float = 0.2
     constant: float = 100.0
@@ -55,17 +59,17 @@
 
 
 class LeaveSection(msgspec.Struct, frozen=True, kw_only=True):
-    """How long this host may take to end after SIGTERM."""
+    """Time in seconds that this host has to exit after SIGTERM."""
 
     grace_s: float = 8.0
 
 
 class BoundsSection(msgspec.Struct, frozen=True, kw_only=True):
-    """What the deployment promises, in milliseconds.
+    """Time bounds of the deployment, in milliseconds.
 
-    A configuration is in force ``config_ms`` after it was accepted, a leaving
-    endpoint gets no requests after ``drain_ms``, and endpoints renew their
-    entries each ``heartbeat_ms``.
+    A configuration is in force within ``config_ms`` of being accepted, a draining
+    endpoint gets no requests after ``drain_ms``, and endpoints renew their entries
+    every ``heartbeat_ms``.
     """
 
     config_ms: float = 2000.0
@@ -74,13 +78,13 @@
 
 
 class LogSection(msgspec.Struct, frozen=True, kw_only=True):
-    """How much is logged."""
+    """Minimum level of log lines."""
 
     level: str = "INFO"
 
 
 class RouterSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """The whole file; unknown fields are ignored."""
+    """All sections; unknown fields are ignored."""
 
     host: HostSection
     listen: ListenSection
@@ -105,22 +109,22 @@
         settings = msgspec.convert(raw, RouterSettings)
     except msgspec.ValidationError as exc:
         raise SettingsError(f"{path}: {exc}") from exc
-    places = {
+    addresses = {
         "listen.callers": settings.listen.callers,
         "listen.ready": settings.listen.ready,
         "listen.hosts": settings.listen.hosts,
         "store.address": settings.store.address,
     }
-    for place, address in places.items():
+    for field, address in addresses.items():
         host, _, port = address.rpartition(":")
         if not host or not port.isdigit():
-            msg = f'{path}: {place}: must be an IP number and a port, got "{address}"'
+            msg = f'{path}: {field}: must be an IP number and a port, got "{address}"'
             raise SettingsError(msg)
-    _check_positive(path, settings)
+    _validate_positive(path, settings)
     return settings
 
 
-def _check_positive(path: Path, settings: RouterSettings) -> None:
+def _validate_positive(path: Path, settings: RouterSettings) -> None:
     for section in ("bounds", "leave"):
         fields = msgspec.structs.asdict(getattr(settings, section))
         for name, value in fields.items():
--- a/packages/router/src/hemlockhall_router/process/store.py
+++ b/packages/router/src/hemlockhall_router/process/store.py
@@ -1,4 +1,4 @@
-"""The store that keeps what must last, as the router sees it."""
+"""Interface of the store: versioned tables with change history."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Table(Enum):
-    """What is kept; the adapter gives each its name in the store."""
+    """Tables of the store; the dialect maps each to its name there."""
 
     ROUTING = "routing"
     ENDPOINTS = "endpoints"
@@ -17,23 +17,26 @@
 
 
 class StoreError(Exception):
-    """The store did not do what was asked."""
+    """Base class of failed calls to the store."""
 
 
 class StoreRefusedError(StoreError):
-    """The store answered that it did nothing."""
+    """The call had no effect: the store refused it or was not reached."""
 
 
 class StoreNoAnswerError(StoreError):
-    """No answer came: a write may have been done, or may be done later."""
+    """No answer came: a write may have been applied, or may be applied later."""
 
 
 class HistoryCompactedError(StoreError):
-    """The changes since the given version are no longer kept."""
+    """The store no longer keeps the changes since the given version."""
 
 
 class VersionConflictError(StoreError):
-    """A row had another version than the write expected."""
+    """A conditional write found another version of the row.
+
+    ``row`` is the stored row, or None if there is none.
+    """
 
     def __init__(self, row: Row | None, store_time_s: float) -> None:
         super().__init__("the row has another version")
@@ -43,7 +46,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Row:
-    """A row; ``deleted`` rows stand only in changes."""
+    """A row of a table; ``deleted`` rows appear only in changes."""
 
     key: str
     value: bytes
@@ -53,7 +56,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ReadResult:
-    """Rows as of one version; ``store_time_s`` is the store's steady clock."""
+    """Rows as of one version; ``store_time_s`` is the store's monotonic clock."""
 
     rows: tuple[Row, ...]
     version: int
@@ -69,7 +72,10 @@
 
 
 class Store(ABC):
-    """Calls of the store; each raises a ``StoreError`` if it fails."""
+    """Client of the store; each call raises a ``StoreError`` if it fails.
+
+    Deadlines are monotonic times.
+    """
 
     @abstractmethod
     async def read(self, table: Table, deadline: float) -> ReadResult:
@@ -77,17 +83,17 @@
 
     @abstractmethod
     async def changes(self, table: Table, after: int, wait_s: float) -> ReadResult:
-        """Return the rows changed since a version, waiting for the first."""
+        """Return the rows changed after a version; wait up to ``wait_s`` for one."""
 
     @abstractmethod
     async def write(
         self, table: Table, key: str, value: bytes, expected: int, deadline: float
     ) -> WriteResult:
-        """Write a row if it has the expected version (0: it does not exist)."""
+        """Write a row if its version is ``expected`` (0: it does not exist)."""
 
     @abstractmethod
     async def close(self) -> None:
-        """Close the connections."""
+        """Close all connections to the store."""
 
 
 __all__ = [
--- a/packages/router/src/hemlockhall_router/process/watch.py
+++ b/packages/router/src/hemlockhall_router/process/watch.py
@@ -1,4 +1,4 @@
-"""A copy of one table of the store, kept up to date."""
+"""Cached copy of one table of the store, kept up to date by long polls."""
 
 from __future__ import annotations
 
@@ -17,130 +17,136 @@
     from hemlockhall_router.process.store import ReadResult, Store, Table
     from hemlockhall_router.process.timing import Timing
 
-# Seconds between tries while the store does not answer.
-RETRY_S = 0.2
+# Backoff between calls while the store does not answer.
+RETRY_MIN_S = 0.2
 RETRY_MAX_S = 0.5
-# The same for a host that others would pass changes on to.
-RETRY_IDLE_S = 2.0
-# Seconds between two looks at whether this host should follow the store.
-IDLE_S = 0.05
-# Part of its wait that a call for changes waits at least. Hosts whose calls return
-# together after a change would confirm their copies at the same moments.
-WAIT_LEAST = 0.5
-# Deletions remembered for hosts that are behind.
-TOMBSTONES = 512
+# Upper bound for a host that gets changes from the store watchers.
+RETRY_MAX_NON_WATCHER_S = 2.0
+# Interval at which a host that does not watch the store checks whether it should.
+POLICY_CHECK_INTERVAL_S = 0.05
+# The duration of long polls is randomised down to this fraction: polls of several
+# hosts return together after a change, and without jitter would stay in step.
+MIN_WAIT_FRACTION = 0.5
+# Deletions kept for hosts with an older version of the table.
+MAX_TOMBSTONES = 512
 
 
 class WatchPolicy(Protocol):
-    """Whether and how this host follows the store."""
+    """Whether and how this host watches the store."""
 
     def should_watch(self) -> bool:
-        """Return whether this host should ask the store itself."""
+        """Return whether this host should poll the store itself."""
 
     def is_store_watcher(self) -> bool:
-        """Return whether others rely on what this host gets there."""
+        """Return whether other hosts rely on this host's polls."""
 
     def long_poll_s(self) -> float:
-        """Return for how long one call for changes waits."""
+        """Return the duration of one long poll in seconds."""
 
 
 class Watch:
-    """Rows of a table as of ``version``; only newer versions are taken.
+    """Rows of a table as of ``version``; older versions are ignored.
 
     ``last_change`` is the version of the newest change, and ``complete_as_of`` the
-    monotonic time as of which the copy is known to be complete.
+    monotonic time as of which the copy is known to be complete. ``connected`` tells
+    whether the last call to the store succeeded, ``connected_at`` when that began;
+    ``last_failure_at`` is the time of the last failed call, or 0.
 
     Parameters
     ----------
     store : Store
-        Where changes come from.
+        Source of the rows.
     table : Table
         The table.
-    taken : callable
-        Called with the changed rows after each step.
-    following : WatchPolicy
-        Whether this host asks the store.
+    on_change : callable
+        Called with the changed rows after each update.
+    policy : WatchPolicy
+        Decides whether this host polls the store.
     timing : Timing
-        Times of calls.
+        Timeouts and pauses.
     """
 
     def __init__(
         self,
         store: Store,
         table: Table,
-        taken: Callable[[list[Row]], None],
-        following: WatchPolicy,
+        on_change: Callable[[list[Row]], None],
+        policy: WatchPolicy,
         timing: Timing,
     ) -> None:
         self._store = store
-        self._following = following
+        self._policy = policy
         self._timing = timing
         self.table = table
-        self._taken = taken
+        self._on_change = on_change
         self.version = 0
         self.last_change = 0
         self.complete_as_of = float("-inf")
         self.rows: dict[str, Row] = {}
-        self._dead: dict[str, Row] = {}
-        self._dead_floor = 0
+        self._tombstones: dict[str, Row] = {}
+        self._tombstone_floor = 0
         self.connected = False
-        self.regained_at = 0.0
-        self.lost_at = 0.0
+        self.connected_at = 0.0
+        self.last_failure_at = 0.0
 
     async def run(self) -> None:
-        """Follow the table, while this host should, until cancelled."""
-        fresh = self.version > 0
-        delay = RETRY_S
+        """Watch the table while the policy asks for it, until cancelled."""
+        has_copy = self.version > 0
+        delay_s = RETRY_MIN_S
         while True:
-            if not self._following.should_watch():
+            if not self._policy.should_watch():
                 self.connected = False
-                fresh = self.version > 0
-                await anyio.sleep(IDLE_S)
+                has_copy = self.version > 0
+                await anyio.sleep(POLICY_CHECK_INTERVAL_S)
                 continue
             try:
-                if not fresh:
-                    page = await self._read()
-                    fresh = True
+                if not has_copy:
+                    result = await self._read()
+                    has_copy = True
                 else:
-                    page = await self._changes()
-                    if page.rows:
+                    result = await self._changes()
+                    if result.rows:
                         await anyio.sleep(self._timing.debounce_s)
-                delay = RETRY_S
+                delay_s = RETRY_MIN_S
             except HistoryCompactedError:
-                logger.info("history gone, reading anew", table=self.table.value)
-                fresh = False
+                logger.info(
+                    "history compacted, reading whole table", table=self.table.value
+                )
+                has_copy = False
             except StoreError as exc:
-                self._lose(exc)
-                await anyio.sleep(delay)
-                most = (
-                    RETRY_MAX_S if self._following.is_store_watcher() else RETRY_IDLE_S
+                self._mark_failed(exc)
+                await anyio.sleep(delay_s)
+                max_delay_s = (
+                    RETRY_MAX_S
+                    if self._policy.is_store_watcher()
+                    else RETRY_MAX_NON_WATCHER_S
                 )
-                delay = min(most, delay * 1.5)
+                delay_s = min(max_delay_s, delay_s * 1.5)
 
     async def _read(self) -> ReadResult:
         deadline = time.monotonic() + self._timing.read_timeout_s
-        page = await self._store.read(self.table, deadline)
-        self._reach()
-        self.replace(page.rows, page.version)
-        return page
+        result = await self._store.read(self.table, deadline)
+        self._mark_connected()
+        self.replace(result.rows, result.version)
+        return result
 
     async def _changes(self) -> ReadResult:
-        wait_s = self._following.long_poll_s() * random.uniform(WAIT_LEAST, 1.0)  # noqa: S311
-        page = await self._store.changes(self.table, self.version, wait_s)
-        self._reach()
-        self.apply(page.rows, page.version)
-        return page
+        wait_s = self._policy.long_poll_s() * random.uniform(MIN_WAIT_FRACTION, 1.0)  # noqa: S311
+        result = await self._store.changes(self.table, self.version, wait_s)
+        self._mark_connected()
+        self.apply(result.rows, result.version)
+        return result
 
-    def _reach(self) -> None:
+    def _mark_connected(self) -> None:
         self.complete_as_of = time.monotonic()
         if self.connected:
             return
         self.connected = True
-        self.regained_at = time.monotonic()
+        self.connected_at = time.monotonic()
         logger.info("store reached", table=self.table.value, version=self.version)
 
-    def _lose(self, exc: StoreError) -> None:
-        self.lost_at = time.monotonic()
+    def _mark_failed(self, exc: StoreError) -> None:
+        self.last_failure_at = time.monotonic()
         if not self.connected:
             return
         self.connected = False
@@ -148,42 +154,43 @@
 
     @property
     def store_unreachable(self) -> bool:
-        """Whether the store turned this host away a moment ago."""
-        if self.connected or not self.lost_at:
+        """Whether calls to the store fail, the last one recently."""
+        if self.connected or not self.last_failure_at:
             return False
-        return time.monotonic() - self.lost_at < self._timing.entry_grace_s
+        return time.monotonic() - self.last_failure_at < self._timing.entry_grace_s
 
-    def confirm(self, changed: int, complete: int, at: float) -> bool:
-        """Take another host's word on its copy; return whether this one lacks rows.
+    def confirm(self, last_change: int, complete_to: int, at: float) -> bool:
+        """Compare with a peer's copy; return whether this one lacks changes.
 
-        A copy that holds all changes up to a version, the newest of which this
-        one has too, says that this one is complete up to there.
+        The peer's copy has all changes up to version ``complete_to`` as of ``at``,
+        the newest of them at ``last_change``. If this copy has that one too, it is
+        complete up to the same version.
         """
-        if changed > self.version:
+        if last_change > self.version:
             return True
         if self.version > 0:
-            self.version = max(self.version, complete)
+            self.version = max(self.version, complete_to)
             self.complete_as_of = max(self.complete_as_of, at)
         return False
 
     def apply(self, rows: tuple[Row, ...] | list[Row], version: int) -> None:
-        """Take changes that lead from the own version to a newer one."""
+        """Apply the changes between the current version and a newer one."""
         if version <= self.version:
             return
-        taken = []
+        changed_rows = []
         for row in rows:
-            held = self.rows.get(row.key) or self._dead.get(row.key)
-            if held is not None and held.version >= row.version:
+            known = self.rows.get(row.key) or self._tombstones.get(row.key)
+            if known is not None and known.version >= row.version:
                 continue
             self._put(row)
-            taken.append(row)
+            changed_rows.append(row)
             self.last_change = max(self.last_change, row.version)
         self.version = version
-        if taken:
-            self._taken(taken)
+        if changed_rows:
+            self._on_change(changed_rows)
 
     def replace(self, rows: tuple[Row, ...] | list[Row], version: int) -> None:
-        """Take all rows as of a newer version; the others are deleted."""
+        """Replace all rows by those of a newer version; delete the others."""
         if version <= self.version:
             return
         kept = {row.key for row in rows}
@@ -196,21 +203,24 @@
     def _put(self, row: Row) -> None:
         if not row.deleted:
             self.rows[row.key] = row
-            self._dead.pop(row.key, None)
+            self._tombstones.pop(row.key, None)
             return
         self.rows.pop(row.key, None)
-        self._dead[row.key] = row
-        while len(self._dead) > TOMBSTONES:
-            oldest = min(self._dead.values(), key=lambda dead: dead.version)
-            self._dead_floor = oldest.version
-            del self._dead[oldest.key]
+        self._tombstones[row.key] = row
+        while len(self._tombstones) > MAX_TOMBSTONES:
+            oldest = min(self._tombstones.values(), key=lambda item: item.version)
+            self._tombstone_floor = oldest.version
+            del self._tombstones[oldest.key]
 
     def changes_since(self, version: int) -> tuple[bool, list[Row]]:
-        """Return whether all rows follow, and the rows changed since."""
-        if version < self._dead_floor or version == 0:
+        """Return whether all rows follow, and the rows changed after ``version``.
+
+        All rows follow, without deletions, if the tombstones do not go back that far.
+        """
+        if version < self._tombstone_floor or version == 0:
             return True, list(self.rows.values())
         changed = [row for row in self.rows.values() if row.version > version]
-        changed += [row for row in self._dead.values() if row.version > version]
+        changed += [row for row in self._tombstones.values() if row.version > version]
         changed.sort(key=lambda row: row.version)
         return False, changed
 
--- a/tests/router/test_log.py
+++ b/tests/router/test_log.py
@@ -10,7 +10,7 @@
 
 from loguru import logger
 
-from hemlockhall_router.process.log import LINES_PER_S, Sink
+from hemlockhall_router.process.log import MAX_LINES_PER_S, JsonSink
 from hemlockhall_router.process.metric import Metrics
 
 PIPE_BYTES = 4096
@@ -33,8 +33,8 @@
         and the first line that fits again tells how many were."""
         metrics = Metrics()
         with pipe_as_output() as pipe:
-            sink = logger.add(Sink("h1", metrics).write, level="DEBUG")
-            for number in range(LINES_PER_S * 4):
+            sink = logger.add(JsonSink("h1", metrics).write, level="DEBUG")
+            for number in range(MAX_LINES_PER_S * 4):
                 logger.info(f"kind {number % 8}", text="x" * 100)
             left_out = left_out_lines(metrics)
             assert left_out > 0
@@ -51,15 +51,15 @@
         written = 0
         with pipe_as_output() as pipe:
             os.set_blocking(pipe, False)
-            sink = logger.add(Sink("h1", metrics).write, level="DEBUG")
-            for _ in range(LINES_PER_S * 3):
+            sink = logger.add(JsonSink("h1", metrics).write, level="DEBUG")
+            for _ in range(MAX_LINES_PER_S * 3):
                 logger.info("same")
                 with suppress(BlockingIOError):
                     written += len(os.read(pipe, PIPE_BYTES).splitlines())
             logger.remove(sink)
         # The share starts anew when a second begins; it does so once at most.
-        assert written <= LINES_PER_S * 2
-        assert written + left_out_lines(metrics) == LINES_PER_S * 3
+        assert written <= MAX_LINES_PER_S * 2
+        assert written + left_out_lines(metrics) == MAX_LINES_PER_S * 3
 
 
 def left_out_lines(metrics: Metrics) -> int:
