--- a/tests/router/test_caller.py
+++ b/tests/router/test_caller.py
@@ -1,4 +1,4 @@
-"""What a caller may send, and how long it may take."""
+"""Validation and limits of callers' requests."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 READ = b"GET /read/x HTTP/1.1\r\nHost: hall.example\r\n"
 
 
-async def answer(arrival: ReceivedRequest) -> None:
-    await arrival.answer(200, arrival.body)
+async def respond(received: ReceivedRequest) -> None:
+    await received.answer(200, received.body)
 
 
 async def status_of(harness, data: bytes) -> int:  # noqa: ANN001
@@ -44,17 +44,17 @@
             b"Content-Length: -1\r\n\r\n",
         ],
     )
-    async def test_two_readings_mean_400(self, lines: bytes) -> None:
-        """Two readers that disagree where a request ends would let a caller
-        hide a second request in the body of the first."""
+    async def test_ambiguous_framing_gets_400(self, lines: bytes) -> None:
+        """If two HTTP parsers disagree on where a request ends, a caller can
+        smuggle a second request in the body of the first."""
         async with router_harness(ROUTES) as harness:
-            desk = await harness.start_endpoint("d1", answer)
+            endpoint = await harness.start_endpoint("d1", respond)
             assert await status_of(harness, READ + lines) == 400
-            assert not desk.received
+            assert not endpoint.received
 
     async def test_pipelined_requests_are_answered_in_order(self) -> None:
         async with router_harness(ROUTES) as harness:
-            await harness.start_endpoint("d1", answer)
+            await harness.start_endpoint("d1", respond)
             conn = await harness.connect()
             deadline = time.monotonic() + 20
             text = caller_text("/read/x", "POST", b"one", request_id="1")
@@ -73,23 +73,23 @@
 
     async def test_a_large_body_gets_413(self) -> None:
         async with router_harness(ROUTES, body_bytes=10) as harness:
-            desk = await harness.start_endpoint("d1", answer)
+            endpoint = await harness.start_endpoint("d1", respond)
             text = caller_text("/read/x", "POST", b"0123456789a")
             assert await status_of(harness, text) == 413
-            assert not desk.received
+            assert not endpoint.received
 
     async def test_a_slow_head_gets_408(self) -> None:
         async with router_harness(ROUTES) as harness:
             assert await status_of(harness, READ) == 408
 
-    async def test_callers_that_send_a_body_byte_by_byte_are_ended(self) -> None:
-        """Fifty callers send a byte now and then; without a bound on the whole
-        body they would hold their connections for ever."""
+    async def test_slow_bodies_get_408(self) -> None:
+        """Fifty callers never complete their bodies; without a deadline for the
+        whole body they would hold their connections for ever."""
         async with router_harness(ROUTES) as harness:
-            await harness.start_endpoint("d1", answer)
+            await harness.start_endpoint("d1", respond)
             statuses: list[int] = []
 
-            async def drip() -> None:
+            async def send_slowly() -> None:
                 conn = await harness.connect()
                 deadline = time.monotonic() + 20
                 lines = b"Deadline-Ms: 300\r\nContent-Length: 1000\r\n\r\n"
@@ -99,5 +99,5 @@
 
             async with anyio.create_task_group() as group:
                 for _ in range(50):
-                    group.start_soon(drip)
+                    group.start_soon(send_slowly)
             assert statuses == [408] * 50
--- a/tests/router/test_client.py
+++ b/tests/router/test_client.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints: each byte belongs to one answer."""
+"""Client connections: framing of responses, and reuse."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 pytestmark = pytest.mark.anyio
 
 
-def answer(number: int, body: bytes, status: int = 200) -> bytes:
+def make_response(number: int, body: bytes, status: int = 200) -> bytes:
     head = f"HTTP/1.1 {status} X\r\nnumber: {number}\r\ncontent-length: {len(body)}"
     return head.encode() + b"\r\n\r\n" + body
 
@@ -29,7 +29,10 @@
 async def server(
     *writes: bytes, reset: bool = False
 ) -> AsyncIterator[ClientConnection]:
-    """Send ``writes`` one after another once something was received."""
+    """Connect to a server that sends ``writes`` after it received something.
+
+    It then closes the connection if ``reset``, and else keeps it open.
+    """
 
     async def serve(stream: SocketStream) -> None:
         async with stream:
@@ -51,68 +54,68 @@
         group.cancel_scope.cancel()
 
 
-class TestAnswers:
-    async def test_a_late_answer_and_part_of_the_next_in_one_read(self) -> None:
-        """An answer to an earlier request arrives together with the head and
-        half of the body of the answer that is due. The half was taken for the
-        earlier answer's body, and the caller got only the rest."""
-        late = answer(1, b"late", 503)
-        due = answer(2, b"0123456789")
-        async with server(late + due[:-5], due[-5:]) as conn:
+class TestResponses:
+    async def test_a_late_response_and_part_of_the_next_in_one_read(self) -> None:
+        """A late response to an earlier request arrives in one read with half of
+        the current one. That half was added to the late body, and the caller got
+        only the rest."""
+        late = make_response(1, b"late", 503)
+        current = make_response(2, b"0123456789")
+        async with server(late + current[:-5], current[-5:]) as conn:
             first = await conn.read_response(deadline())
             assert (first.head.status, first.body) == (503, b"late")
             second = await conn.read_response(deadline())
             assert second.head.header(b"number") == b"2"
             assert (second.head.status, second.body) == (200, b"0123456789")
 
-    async def test_a_connection_is_in_use_while_the_due_answer_is_awaited(
+    async def test_a_connection_is_not_reusable_while_a_response_is_awaited(
         self,
     ) -> None:
-        """A late answer is read and skipped, and then the request is given up.
-        The connection looked idle and was never closed, so the endpoint went
-        on with a request that nobody waited for."""
-        async with server(answer(1, b"late")) as conn:
+        """The request is abandoned after a late response was skipped. The
+        connection counted as idle and stayed open, so the endpoint went on with
+        the abandoned request."""
+        async with server(make_response(1, b"late")) as conn:
             await conn.read_response(deadline())
             with pytest.raises(ConnectionLostError):
                 await conn.read_head(time.monotonic() + 0.1)
             assert not conn.reusable
 
-    async def test_a_second_answer_makes_the_connection_unusable(self) -> None:
-        async with server(answer(1, b"one") + answer(1, b"two")) as conn:
+    async def test_an_extra_response_makes_the_connection_unusable(self) -> None:
+        async with server(make_response(1, b"one") + make_response(1, b"two")) as conn:
             assert (await conn.read_response(deadline())).body == b"one"
             assert not conn.reusable
 
-    async def test_an_answer_in_small_pieces(self) -> None:
-        text = answer(1, b"0123456789")
+    async def test_a_response_in_small_reads(self) -> None:
+        text = make_response(1, b"0123456789")
         pieces = [text[n : n + 7] for n in range(0, len(text), 7)]
         async with server(*pieces) as conn:
             assert (await conn.read_response(deadline())).body == b"0123456789"
             assert conn.reusable
 
-    async def test_an_interim_answer_is_not_the_answer(self) -> None:
+    async def test_an_interim_response_is_skipped(self) -> None:
         interim = b"HTTP/1.1 100 Continue\r\n\r\n"
-        async with server(interim, answer(1, b"one")) as conn:
+        async with server(interim, make_response(1, b"one")) as conn:
             response = await conn.read_response(deadline())
             assert (response.head.status, response.body) == (200, b"one")
             assert conn.reusable
 
-    async def test_bytes_that_are_no_answer(self) -> None:
+    async def test_invalid_bytes_raise_a_protocol_error(self) -> None:
         async with server(b"\x00\x01garbage\r\n\r\n") as conn:
             with pytest.raises(ProtocolError):
                 await conn.read_response(deadline())
 
-    async def test_spoilt_bytes_after_a_whole_answer(self) -> None:
-        async with server(answer(1, b"one") + b"\x00\x01garbage") as conn:
+    async def test_invalid_bytes_after_a_complete_response(self) -> None:
+        async with server(make_response(1, b"one") + b"\x00\x01garbage") as conn:
             assert (await conn.read_response(deadline())).body == b"one"
             assert not conn.reusable
 
-    async def test_a_cut_chunk_is_not_an_end(self) -> None:
+    async def test_a_truncated_chunk_raises_connection_lost(self) -> None:
         head = b"HTTP/1.1 200 X\r\ntransfer-encoding: chunked\r\n\r\n"
         async with server(head + b"5\r\nabc", reset=True) as conn:
             with pytest.raises(ConnectionLostError):
                 await conn.read_response(deadline())
 
-    async def test_an_answer_to_head_has_no_body(self) -> None:
+    async def test_a_response_to_head_has_no_body(self) -> None:
         head = b"HTTP/1.1 200 X\r\ncontent-length: 9\r\n\r\n"
         async with server(head) as conn:
             assert (await conn.read_response(deadline(), no_body=True)).body == b""
--- a/tests/router/test_explain.py
+++ b/tests/router/test_explain.py
@@ -1,4 +1,4 @@
-"""From a request's id to its cause, by the lines that the host writes."""
+"""Log lines explain a failed request, starting from its id."""
 
 from __future__ import annotations
 
@@ -20,66 +20,67 @@
 
 @pytest.fixture()
 def lines() -> Iterator[list[dict[str, Any]]]:
-    """The lines of the test, as fields."""
-    found: list[dict[str, Any]] = []
+    """Fields of the log lines written during the test."""
+    records: list[dict[str, Any]] = []
 
     def keep(message: Any) -> None:
         record = message.record
-        found.append({"event": record["message"], **record["extra"]})
+        records.append({"event": record["message"], **record["extra"]})
 
     sink = logger.add(keep, level="DEBUG")
-    yield found
+    yield records
     logger.remove(sink)
 
 
-def of(lines: list[dict[str, Any]], **wanted: object) -> list[dict[str, Any]]:
-    """Return the lines that have these fields."""
-    found = []
+def matching(lines: list[dict[str, Any]], **fields: object) -> list[dict[str, Any]]:
+    """Return the lines with these field values."""
+    records = []
     for line in lines:
-        if all(line.get(key) == value for key, value in wanted.items()):
-            found.append(line)
-    return found
+        if all(line.get(key) == value for key, value in fields.items()):
+            records.append(line)
+    return records
 
 
-class TestRefusedForWantOfMemory:
-    async def test_the_lines_lead_from_the_id_to_the_full_endpoint(
+class TestOutOfMemory:
+    async def test_log_lines_link_the_request_id_to_the_full_endpoint(
         self, lines: list[dict[str, Any]]
     ) -> None:
-        """A caller gets 503 though endpoints are there. Two hold the layers;
-        the second has no memory left and is named by the first. Whoever
-        looks for the id finds the refusals, the path of each and the endpoint
-        at fault with its load."""
+        """A caller gets 503 because the second endpoint of the path is out of
+        memory. The lines with the request id give the reason and the path, and
+        another line names the endpoint without room and its load."""
 
-        async def refuse(arrival: ReceivedRequest) -> None:
-            await arrival.refuse(503, f"at-fault: 127.0.0.1:{second.port}\r\n")
+        async def respond_503(received: ReceivedRequest) -> None:
+            await received.refuse(503, f"at-fault: 127.0.0.1:{second.port}\r\n")
 
         async with router_harness(ROUTES) as harness:
-            second = await harness.start_endpoint("p2", refuse, layers=(4, 8), **HOLDER)
-            await harness.start_endpoint("p1", refuse, layers=(0, 4), **HOLDER)
-            answer = await harness.request("/draft/x", method="POST", request_id="q7")
-        assert answer.head.status == 503
-        given_up = of(lines, event="stream given up", request="q7")
+            second = await harness.start_endpoint(
+                "p2", respond_503, layers=(4, 8), **HOLDER
+            )
+            await harness.start_endpoint("p1", respond_503, layers=(0, 4), **HOLDER)
+            response = await harness.request("/draft/x", method="POST", request_id="q7")
+        assert response.head.status == 503
+        given_up = matching(lines, event="stream given up", request="q7")
         assert [line["reason"] for line in given_up] == ["endpoints_full"]
-        broke = of(lines, event="stream broke", request="q7")
+        broke = matching(lines, event="stream broke", request="q7")
         assert broke
         for line in broke:
             assert line["reason"] == "rejected"
             assert line["path"] == ["p1", "p2"]
-        full = of(lines, event="endpoint without room")
+        full = matching(lines, event="endpoint without room")
         assert {line["endpoint"] for line in full} == {"p2"}
         assert all(line["tokens"] >= 0 for line in full)
 
 
 class TestUnknownKey:
-    async def test_the_line_names_the_version_in_force(
+    async def test_the_refusal_states_the_configuration_version(
         self, lines: list[dict[str, Any]]
     ) -> None:
         async with router_harness(ROUTES, keys={"k1": "choir"}) as harness:
-            answer = await harness.request(
+            response = await harness.request(
                 "/draft/x", method="POST", headers={"Api-Key": "k2"}, request_id="q8"
             )
-        assert answer.head.status == 401
-        (refused,) = of(lines, event="request refused", request="q8")
+        assert response.head.status == 401
+        (refused,) = matching(lines, event="request refused", request="q8")
         assert refused["reason"] == "unknown_key"
-        in_force = of(lines, event="configuration in force")
+        in_force = matching(lines, event="configuration in force")
         assert refused["version"] == in_force[-1]["version"]
--- a/tests/router/test_log.py
+++ b/tests/router/test_log.py
@@ -1,4 +1,4 @@
-"""Log lines: bounded, and never in the way of a request."""
+"""Log lines are rate-limited and never block a request."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @contextmanager
 def pipe_as_output() -> Iterator[int]:
-    """Make a small pipe standard output; yield the end to read from."""
+    """Redirect standard output to a small pipe; yield the end to read from."""
     reading, writing = os.pipe()
     fcntl.fcntl(writing, fcntl.F_SETPIPE_SZ, PIPE_BYTES)
     with os.fdopen(writing, "w") as output, redirect_stdout(output):
@@ -26,27 +26,27 @@
     os.close(reading)
 
 
-class TestSink:
-    def test_a_reader_that_stands_still_costs_lines_only(self) -> None:
-        """Nobody reads the host's output. The pipe fills up, and a line that
-        waited for room would stop every request; it is left out and counted,
-        and the first line that fits again tells how many were."""
+class TestJsonSink:
+    def test_a_stalled_reader_does_not_block_writes(self) -> None:
+        """Nobody reads the output, and the pipe fills up. A blocking write would
+        stop every request: lines are dropped and counted instead, and the next
+        line that fits states the count."""
         metrics = Metrics()
         with pipe_as_output() as pipe:
             sink = logger.add(JsonSink("h1", metrics).write, level="DEBUG")
             for number in range(MAX_LINES_PER_S * 4):
                 logger.info(f"kind {number % 8}", text="x" * 100)
-            left_out = left_out_lines(metrics)
-            assert left_out > 0
+            dropped = dropped_lines(metrics)
+            assert dropped > 0
             os.read(pipe, PIPE_BYTES)
             logger.error("room again")
             logger.remove(sink)
             last = os.read(pipe, PIPE_BYTES).splitlines()[-1]
-        assert json.loads(last)["lines_left_out"] == left_out
+        assert json.loads(last)["lines_left_out"] == dropped
 
-    def test_lines_of_a_kind_are_bounded(self) -> None:
-        """One kind of event comes more often than its share of lines. The rest
-        is counted: logging must not take the processor from requests."""
+    def test_lines_of_one_event_are_rate_limited(self) -> None:
+        """A frequent event must not take CPU time from requests: lines beyond the
+        limit are dropped and counted."""
         metrics = Metrics()
         written = 0
         with pipe_as_output() as pipe:
@@ -57,14 +57,14 @@
                 with suppress(BlockingIOError):
                     written += len(os.read(pipe, PIPE_BYTES).splitlines())
             logger.remove(sink)
-        # The share starts anew when a second begins; it does so once at most.
+        # The limit is per second, and at most one second boundary is crossed.
         assert written <= MAX_LINES_PER_S * 2
-        assert written + left_out_lines(metrics) == MAX_LINES_PER_S * 3
+        assert written + dropped_lines(metrics) == MAX_LINES_PER_S * 3
 
 
-def left_out_lines(metrics: Metrics) -> int:
-    """Return the counter of lines that were left out."""
+def dropped_lines(metrics: Metrics) -> int:
+    """Return the counter of dropped lines."""
     for line in metrics.render().decode().splitlines():
         if line.startswith("hemlockhall_log_lines_left_out_total"):
             return int(float(line.split()[-1]))
-    raise AssertionError("no counter")
+    raise AssertionError("counter log_lines_left_out not found")
--- a/tests/router/test_pool.py
+++ b/tests/router/test_pool.py
@@ -1,4 +1,4 @@
-"""Idle connections."""
+"""Pool of idle connections."""
 
 from __future__ import annotations
 
@@ -14,31 +14,31 @@
 ADDRESS = ("127.0.0.1", 1)
 
 
-class SlowlyClosed(ClientConnection):
-    """A connection that was ended by the other side, slow to close."""
+class SlowClosingConnection(ClientConnection):
+    """A connection whose close takes a while."""
 
     def __init__(self) -> None:
         self.reusable = True
         self.idle_deadline = 0.0
-        self.sound = True
+        self.usable = True
 
     def is_usable(self) -> bool:
-        return self.sound
+        return self.usable
 
     async def close(self) -> None:
         await anyio.sleep(0.01)
 
 
-class TestSweep:
+class TestCloseExpired:
     async def test_a_request_takes_a_connection_while_others_are_closed(self) -> None:
-        """Two idle connections were ended by the endpoint. While the first is
-        being closed, a request looks for an idle one and removes the second;
-        the sweep then found it missing and ended the process."""
+        """While the pool closes the first of two expired connections, a request
+        takes the second. The pool then failed on the missing connection, which
+        ended the process."""
         pool = ConnectionPool()
-        conns = [SlowlyClosed(), SlowlyClosed()]
+        conns = [SlowClosingConnection(), SlowClosingConnection()]
         for conn in conns:
             await pool.release(ADDRESS, conn, ResponseHead(200, b"", []))
-            conn.sound = False
+            conn.usable = False
         async with anyio.create_task_group() as group:
             group.start_soon(pool.close_expired)
             await anyio.sleep(0.005)
--- a/tests/router/test_process.py
+++ b/tests/router/test_process.py
@@ -1,4 +1,4 @@
-"""The router as a process of its own."""
+"""The router as a separate process."""
 
 from __future__ import annotations
 
@@ -33,8 +33,8 @@
 RUN = [sys.executable, "-m", "hemlockhalld.main", "router", "--settings"]
 
 
-class Started:
-    """A router process and its ports."""
+class RouterProcess:
+    """A running router process and its ports."""
 
     def __init__(self, folder: Path) -> None:
         self.callers, self.ready = free_port(), free_port()
@@ -52,40 +52,40 @@
                 return
             except OSError:
                 time.sleep(0.05)
-        pytest.fail(f"it does not listen: {self.process.communicate()[0]!r}")
+        pytest.fail(f"the router does not listen: {self.process.communicate()[0]!r}")
 
 
 @pytest.fixture()
-def started(tmp_path: Path) -> Iterator[Started]:
-    made = Started(tmp_path)
-    yield made
-    made.process.kill()
-    made.process.communicate()
+def router(tmp_path: Path) -> Iterator[RouterProcess]:
+    router = RouterProcess(tmp_path)
+    yield router
+    router.process.kill()
+    router.process.communicate()
 
 
 class TestProcess:
-    def test_without_a_configuration_it_is_not_ready(self, started: Started) -> None:
-        ready = httpx.get(f"http://127.0.0.1:{started.ready}/ready")
+    def test_not_ready_without_a_configuration(self, router: RouterProcess) -> None:
+        ready = httpx.get(f"http://127.0.0.1:{router.ready}/ready")
         assert ready.status_code == 503
-        response = httpx.get(f"http://127.0.0.1:{started.callers}/x")
+        response = httpx.get(f"http://127.0.0.1:{router.callers}/x")
         assert response.status_code == 503
         assert float(response.headers["retry-after"]) > 0
 
-    def test_counters_are_served(self, started: Started) -> None:
-        httpx.get(f"http://127.0.0.1:{started.callers}/x")
-        text = httpx.get(f"http://127.0.0.1:{started.ready}/metrics").text
+    def test_metrics_are_served(self, router: RouterProcess) -> None:
+        httpx.get(f"http://127.0.0.1:{router.callers}/x")
+        text = httpx.get(f"http://127.0.0.1:{router.ready}/metrics").text
         assert 'hemlockhall_refusals_total{label="no_configuration"} 1' in text
         assert "hemlockhall_first_event_seconds_count 0" in text
         assert 'hemlockhall_retries_total{label="moved"} 0' in text
 
-    def test_sigterm_ends_it_in_order(self, started: Started) -> None:
-        started.process.send_signal(signal.SIGTERM)
-        output, _ = started.process.communicate(timeout=20)
-        assert started.process.returncode == 0
+    def test_sigterm_shuts_down_cleanly(self, router: RouterProcess) -> None:
+        router.process.send_signal(signal.SIGTERM)
+        output, _ = router.process.communicate(timeout=20)
+        assert router.process.returncode == 0
         assert b'"event":"leaving"' in output
         assert b'"event":"end"' in output
 
-    def test_wrong_settings_are_named(self, tmp_path: Path) -> None:
+    def test_check_settings_names_the_invalid_field(self, tmp_path: Path) -> None:
         path = tmp_path / "settings.toml"
         path.write_text(SETTINGS.format(callers="x", ready=1, hosts=1))
         result = subprocess.run(
--- a/tests/router/test_store.py
+++ b/tests/router/test_store.py
@@ -1,4 +1,4 @@
-"""Copies of the store's tables: lost answers, lost history, outages."""
+"""Cached tables of the store during outages and compaction, and the lease."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 ROUTES = [RouteRow("/read/", "idempotent", "desk")]
 
 
-async def answer(arrival: ReceivedRequest) -> None:
-    await arrival.answer(200, arrival.endpoint.name.encode())
+async def respond(received: ReceivedRequest) -> None:
+    await received.answer(200, received.endpoint.name.encode())
 
 
 class TestConfiguration:
-    async def test_a_change_is_in_force_and_never_reverts(self) -> None:
+    async def test_an_older_configuration_does_not_replace_a_newer_one(self) -> None:
         async with router_harness(ROUTES) as harness:
-            await harness.start_endpoint("d1", answer)
+            await harness.start_endpoint("d1", respond)
             harness.routes = [RouteRow("/new/", "idempotent", "desk")]
             harness.configure()
             await harness.wait_until(lambda: harness.routers[0].routing.version == 2)
@@ -35,9 +35,9 @@
             await anyio.sleep(0.5)
             assert harness.routers[0].routing.version == 2
 
-    async def test_a_change_while_the_history_is_lost_arrives(self) -> None:
-        """The feed shows nothing while a change is made, and then says that
-        its history is gone: the table is read anew."""
+    async def test_a_change_before_the_history_is_compacted_arrives(self) -> None:
+        """Long polls miss a change, and then its history is compacted: only reading
+        the whole table can deliver it."""
         async with router_harness(ROUTES) as harness:
             harness.store.mute = True
             harness.configure()
@@ -45,13 +45,13 @@
             harness.store.mute = False
             await harness.wait_until(lambda: harness.routers[0].routing.version == 2)
 
-    async def test_a_host_that_the_store_turns_away_learns_from_another(self) -> None:
-        """One of two hosts gets no answer from the store. The configuration
-        with a withdrawn route must reach it through the other."""
+    async def test_a_host_without_the_store_gets_changes_from_a_peer(self) -> None:
+        """A host that cannot reach the store must not keep serving a withdrawn
+        route; it gets the configuration from the other host."""
         async with router_harness(ROUTES) as harness:
-            await harness.start_endpoint("d1", answer)
-            address, cut = new_store()
-            cut.down = True
+            await harness.start_endpoint("d1", respond)
+            address, second_store = new_store()
+            second_store.down = True
             second = await harness.add_router(address=address)
             assert second.routing.version == 1
             harness.routes = [RouteRow("/new/", "idempotent", "desk")]
@@ -69,44 +69,44 @@
 class TestEndpoints:
     async def test_a_draining_endpoint_gets_no_new_requests(self) -> None:
         async with router_harness(ROUTES) as harness:
-            leaving = await harness.start_endpoint("d1", answer)
-            await harness.start_endpoint("d2", answer)
-            harness.register(leaving, "desk", draining=True)
-            held = harness.routers[0].directory.records
-            await harness.wait_until(lambda: held["d1"].endpoint.draining)
+            draining = await harness.start_endpoint("d1", respond)
+            await harness.start_endpoint("d2", respond)
+            harness.register(draining, "desk", draining=True)
+            records = harness.routers[0].directory.records
+            await harness.wait_until(lambda: records["d1"].endpoint.draining)
             for number in range(5):
                 assert (
                     await harness.request("/read/x", request_id=f"r{number}")
                 ).body == b"d2"
-            assert not leaving.received
+            assert not draining.received
 
     async def test_a_removed_endpoint_gets_no_new_requests(self) -> None:
         async with router_harness(ROUTES) as harness:
-            await harness.start_endpoint("d1", answer)
+            await harness.start_endpoint("d1", respond)
             harness.store.remove(Table.ENDPOINTS, "d1")
             await harness.wait_until(
                 lambda: "d1" not in harness.routers[0].directory.records
             )
             assert (await harness.request("/read/x")).head.status == 503
 
-    async def test_entries_lost_in_an_outage_may_come_back(self) -> None:
-        """Endpoints could not reach the store while it was down, so it drops
-        their entries. They live: dropping them all would refuse everything."""
+    async def test_entries_that_lapse_in_an_outage_stay_in_use(self) -> None:
+        """Endpoints cannot renew their entries while the store is down, so these
+        lapse. Dropping the live endpoints at once would refuse every request."""
         async with router_harness(ROUTES) as harness:
-            await harness.start_endpoint("d1", answer)
+            await harness.start_endpoint("d1", respond)
             harness.store.down = True
             await anyio.sleep(0.5)
             harness.store.remove(Table.ENDPOINTS, "d1")
             harness.store.down = False
-            held = harness.routers[0].directory.records
+            records = harness.routers[0].directory.records
             await harness.wait_until(
-                lambda: held["d1"].entry_grace_deadline is not None
+                lambda: records["d1"].entry_grace_deadline is not None
             )
             assert (await harness.request("/read/x")).body == b"d1"
 
-    async def test_entries_that_stay_away_after_an_outage_are_gone(self) -> None:
+    async def test_entries_not_renewed_after_an_outage_are_dropped(self) -> None:
         async with router_harness(ROUTES) as harness:
-            await harness.start_endpoint("d1", answer)
+            await harness.start_endpoint("d1", respond)
             harness.store.down = True
             await anyio.sleep(0.5)
             harness.store.remove(Table.ENDPOINTS, "d1")
@@ -115,20 +115,22 @@
                 lambda: "d1" not in harness.routers[0].directory.records
             )
 
-    async def test_an_entry_that_only_this_host_missed_is_gone_at_once(self) -> None:
-        """One host loses the store, the other keeps it. An endpoint leaves
-        meanwhile and its entry is removed. The first host, back at the store,
-        took it for one that could not reach the store either, and sent it
-        requests for two seconds more."""
+    async def test_an_entry_removed_while_only_one_host_was_cut_off(self) -> None:
+        """Only one of two hosts loses the store, and an endpoint leaves meanwhile.
+        The host mistook its removed entry for one that lapsed in an outage, and
+        kept sending it requests for two more seconds."""
         async with router_harness(ROUTES) as harness:
-            await harness.start_endpoint("d1", answer)
-            address, cut = new_store()
-            cut.tables, cut.history = harness.store.tables, harness.store.history
-            cut.version = harness.store.version
+            await harness.start_endpoint("d1", respond)
+            address, second_store = new_store()
+            second_store.tables, second_store.history = (
+                harness.store.tables,
+                harness.store.history,
+            )
+            second_store.version = harness.store.version
             second = await harness.add_router(address=address)
             await harness.wait_until(lambda: "d1" in second.directory.records)
             await harness.wait_until(lambda: second.membership.peer_store_stable())
-            cut.down = True
+            second_store.down = True
             await harness.wait_until(lambda: not second._endpoints_watch.connected)
             record = second.directory.records["d1"]
             harness.store.remove(Table.ENDPOINTS, "d1")
@@ -137,29 +139,29 @@
             )
             assert "d1" not in second.directory.records
 
-    async def test_an_endpoint_in_doubt_is_not_preferred(self) -> None:
-        """After an outage one of two entries is missing. Its endpoint may have
-        left, so requests go to the other while that has room."""
+    async def test_an_endpoint_with_a_lapsed_entry_is_used_last(self) -> None:
+        """One of two entries lapsed in an outage. Its endpoint may have left, so
+        requests go to the other while that has room."""
         async with router_harness(ROUTES) as harness:
-            doubtful = await harness.start_endpoint("d1", answer)
-            await harness.start_endpoint("d2", answer)
+            lapsed = await harness.start_endpoint("d1", respond)
+            await harness.start_endpoint("d2", respond)
             harness.store.down = True
             await anyio.sleep(0.5)
             harness.store.remove(Table.ENDPOINTS, "d1")
             harness.store.down = False
-            held = harness.routers[0].directory.records
+            records = harness.routers[0].directory.records
             await harness.wait_until(
-                lambda: held["d1"].entry_grace_deadline is not None
+                lambda: records["d1"].entry_grace_deadline is not None
             )
             for number in range(5):
                 assert (
                     await harness.request("/read/x", request_id=f"r{number}")
                 ).body == b"d2"
-            assert not doubtful.received
+            assert not lapsed.received
 
-    async def test_an_unreadable_entry_names_no_endpoint(self) -> None:
+    async def test_an_invalid_entry_is_ignored(self) -> None:
         async with router_harness(ROUTES) as harness:
-            await harness.start_endpoint("d1", answer)
+            await harness.start_endpoint("d1", respond)
             harness.store.put(Table.ENDPOINTS, "d2", b"\xff\x00")
             harness.store.put(Table.ENDPOINTS, "d3", b'{"service": 5, "port": "x"}')
             await anyio.sleep(0.4)
@@ -167,7 +169,7 @@
 
 
 class TestLease:
-    async def test_only_one_host_holds_it(self) -> None:
+    async def test_only_one_host_holds_the_lease(self) -> None:
         _, store = new_store()
         first, second = Lease(store, "a", "1"), Lease(store, "b", "1")
         await first.acquire_or_renew()
@@ -175,10 +177,10 @@
         assert first.held
         assert not second.held
 
-    async def test_a_lost_answer_does_not_give_two_holders(self) -> None:
-        """The write that acquires the lease is done but not answered. The
-        host does not know that it holds it; it reads the row and sees its own
-        name, and nobody else acquired it meanwhile."""
+    async def test_a_lost_response_does_not_lead_to_two_holders(self) -> None:
+        """The write that acquires the lease is applied, but its response is lost.
+        The host finds its own name when it next reads the row; until then no other
+        host can acquire the lease."""
         _, store = new_store()
         first, second = Lease(store, "a", "1"), Lease(store, "b", "1")
         store.lose_writes = 1
--- a/tests/router/test_timing.py
+++ b/tests/router/test_timing.py
@@ -1,4 +1,4 @@
-"""Times that follow from the bounds of a deployment."""
+"""Times derived from the time bounds of a deployment."""
 
 from __future__ import annotations
 
@@ -32,14 +32,14 @@
 
 class TestTiming:
     @pytest.mark.parametrize("name", NAMES)
-    def test_half_of_each_bound_halves_each_time(self, name: str) -> None:
-        """Guards against a deployment whose bounds are missed by a constant."""
+    def test_each_time_scales_with_its_bound(self, name: str) -> None:
+        """A time that ignores the bounds would miss them in a faster deployment."""
         usual = Timing(BoundsSection())
         half = Timing(BoundsSection(config_ms=1000, drain_ms=1000, heartbeat_ms=600))
         assert getattr(half, name) == pytest.approx(getattr(usual, name) / 2)
 
     @pytest.mark.parametrize("config_ms", [500, 1000, 2000, 3000, 4000, 8000])
-    def test_a_change_fits_into_its_time_though_its_hub_dies(
+    def test_a_configuration_arrives_in_time_if_a_hub_dies(
         self, config_ms: float
     ) -> None:
         timing = Timing(BoundsSection(config_ms=config_ms))
@@ -49,13 +49,13 @@
 
 
 class TestBounds:
-    def test_a_bound_that_is_no_time_is_named(self, tmp_path: Path) -> None:
+    def test_a_bound_of_zero_is_rejected(self, tmp_path: Path) -> None:
         path = tmp_path / "settings.toml"
         path.write_text(SETTINGS + "drain_ms = 0\n")
         with pytest.raises(SettingsError, match="bounds.drain_ms: must be above 0"):
             load_settings(path)
 
-    def test_bounds_are_read(self, tmp_path: Path) -> None:
+    def test_bounds_are_loaded(self, tmp_path: Path) -> None:
         path = tmp_path / "settings.toml"
         path.write_text(SETTINGS + "config_ms = 4000\n")
         assert load_settings(path).bounds.config_ms == 4000
