--- a/packages/router/src/hemlockhall_router/connection/error.py
+++ b/packages/router/src/hemlockhall_router/connection/error.py
@@ -40,11 +40,11 @@
 
 
 __all__ = [
-    "ConnectionLostError",
-    "CallerError",
     "CallerDisconnectedError",
-    "ProtocolError",
+    "CallerError",
+    "ConnectionLostError",
     "NotSentError",
+    "ProtocolError",
     "ReadTimeoutError",
     "TransportError",
 ]
--- a/packages/router/src/hemlockhall_router/connection/message.py
+++ b/packages/router/src/hemlockhall_router/connection/message.py
@@ -125,8 +125,8 @@
     "RequestHead",
     "Response",
     "ResponseHead",
-    "find_header",
-    "end_to_end_headers",
     "encode_request",
     "encode_response_head",
+    "end_to_end_headers",
+    "find_header",
 ]
--- a/packages/router/src/hemlockhall_router/process/dialect.py
+++ b/packages/router/src/hemlockhall_router/process/dialect.py
@@ -142,9 +142,9 @@
 
 __all__ = [
     "DIALECTS",
-    "EndpointCall",
     "DecodeError",
     "Dialect",
+    "EndpointCall",
     "HeaderNames",
     "TokenCounts",
     "dialect",
--- a/packages/router/src/hemlockhall_router/process/frontend.py
+++ b/packages/router/src/hemlockhall_router/process/frontend.py
@@ -132,8 +132,8 @@
             self.open_requests -= 1
 
     async def _handle_request(self, reader: CallerReader, head: RequestHead) -> bool:
-        arrived = time.monotonic()
-        deadline = arrived + self._requested_timeout_s(head)
+        arrived_at = time.monotonic()
+        deadline = arrived_at + self._requested_timeout_s(head)
         response = ResponseWriter(
             reader, head, lambda: self.leaving or reader.close_after
         )
@@ -154,7 +154,7 @@
 
             group.start_soon(watch)
             try:
-                await self._relay(head, body, deadline, arrived, response)
+                await self._relay(head, body, deadline, arrived_at, response)
             except CallerDisconnectedError:
                 disconnected = True
             group.cancel_scope.cancel()
@@ -173,11 +173,11 @@
         head: RequestHead,
         body: bytes,
         deadline: float,
-        arrived: float,
+        arrived_at: float,
         response: ResponseWriter,
     ) -> None:
         try:
-            request = self._route_request(head, body, deadline, arrived)
+            request = self._route_request(head, body, deadline, arrived_at)
         except _RefusedError as exc:
             self._context.metrics.count_refusal(exc.refusal)
             logger.info(
@@ -200,7 +200,7 @@
             await PlainRelay(request, self._context, response).run()
 
     def _route_request(
-        self, head: RequestHead, body: bytes, deadline: float, arrived: float
+        self, head: RequestHead, body: bytes, deadline: float, arrived_at: float
     ) -> RoutedRequest:
         routing = self._routing()
         if routing is None:
@@ -212,7 +212,7 @@
             raise _RefusedError(
                 RefusalReason.NO_ROUTE, 404, "no route has this host and path"
             )
-        customer = self._customer(routing, route, head)
+        customer = self._authenticate(routing, route, head)
         tokens = self._context.dialect.decode_token_counts(head)
         now = time.monotonic()
         if now > self._accept_until and self._exit_at - now < _expected_duration_s(
@@ -228,11 +228,11 @@
             service=service,
             customer=customer,
             id=self._request_id(head),
-            deadline=min(deadline, arrived + route.timeout_s),
+            deadline=min(deadline, arrived_at + route.timeout_s),
             token_counts=tokens,
         )
 
-    def _customer(
+    def _authenticate(
         self, routing: RoutingConfig, route: Route, head: RequestHead
     ) -> Customer | None:
         key = head.header(self._context.dialect.headers.api_key)
--- a/packages/router/src/hemlockhall_router/process/router.py
+++ b/packages/router/src/hemlockhall_router/process/router.py
@@ -102,8 +102,10 @@
             lambda updates: self.directory.apply_layer_updates(updates),
             metrics,
         )
-        self._routes_watch = self._watch(Table.ROUTING, self._routing_changed)
-        self._endpoints_watch = self._watch(Table.ENDPOINTS, self._endpoints_changed)
+        self._routing_watch = self._create_watch(Table.ROUTING, self._routing_changed)
+        self._endpoints_watch = self._create_watch(
+            Table.ENDPOINTS, self._endpoints_changed
+        )
         self._outage = StoreOutage(
             self._endpoints_watch, self.membership.peer_store_stable, self._timing
         )
@@ -152,7 +154,7 @@
             lambda: self.routing,
             self._timing,
         )
-        self._group: TaskGroup | None = None
+        self._task_group: TaskGroup | None = None
 
     async def run(self) -> None:
         """Serve until SIGTERM, then until requests finish or the grace time ends."""
@@ -162,12 +164,12 @@
         gc.freeze()
         listen = self._settings.listen
         async with anyio.create_task_group() as group:
-            self._group = group
-            group.start_soon(self._signals)
+            self._task_group = group
+            group.start_soon(self._handle_signals)
             # The callers' port must accept before readiness is reported.
             await group.start(self._listen, listen.callers, self.frontend.serve)
-            await group.start(self._listen, listen.ready, self._serve_ready)
-            group.start_soon(self._routes_watch.run)
+            await group.start(self._listen, listen.ready, self._serve_health)
+            group.start_soon(self._routing_watch.run)
             group.start_soon(self._endpoints_watch.run)
             group.start_soon(self.membership.run)
             group.start_soon(self._planner.run)
@@ -197,7 +199,7 @@
         task_status.started()
         await listener.serve(serve)
 
-    async def _serve_ready(self, stream: SocketStream) -> None:
+    async def _serve_health(self, stream: SocketStream) -> None:
         reader = CallerReader(stream, CallerLimits())
         try:
             while True:
@@ -242,7 +244,9 @@
     def _endpoints_changed(self, rows: list[Row]) -> None:
         self.directory.apply_rows(rows)
 
-    def _watch(self, table: Table, changed: Callable[[list[Row]], None]) -> Watch:
+    def _create_watch(
+        self, table: Table, changed: Callable[[list[Row]], None]
+    ) -> Watch:
         def on_change(rows: list[Row]) -> None:
             changed(rows)
             self.membership.push()
@@ -275,7 +279,7 @@
             fence=self.lease.fence,
             store_stable=self._outage.store_stable,
             leaving=self.frontend.leaving,
-            store_unreachable=self._routes_watch.store_unreachable
+            store_unreachable=self._routing_watch.store_unreachable
             or self._endpoints_watch.store_unreachable,
             loads=loads,
             down=down,
@@ -319,14 +323,14 @@
         self._timing.bounds = settings.bounds
         logger.info("settings reloaded")
 
-    async def _signals(self) -> None:
+    async def _handle_signals(self) -> None:
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGHUP) as received:
             async for signum in received:
                 if signum == signal.SIGHUP:
                     self._reload()
                 elif not self.frontend.leaving:
-                    assert self._group is not None
-                    self._group.start_soon(self.leave)
+                    assert self._task_group is not None
+                    self._task_group.start_soon(self.leave)
 
     async def leave(self) -> None:
         """Shut down: serve until the load balancer has removed this host, then exit."""
@@ -343,8 +347,8 @@
         with anyio.move_on_after(LEASE_RELEASE_TIMEOUT_S):
             await self.lease.release()
         logger.info("end", open_requests=self.frontend.open_requests)
-        assert self._group is not None
-        self._group.cancel_scope.cancel()
+        assert self._task_group is not None
+        self._task_group.cancel_scope.cancel()
 
 
 __all__ = [
--- a/packages/router/src/hemlockhall_router/process/store.py
+++ b/packages/router/src/hemlockhall_router/process/store.py
@@ -97,14 +97,14 @@
 
 
 __all__ = [
-    "VersionConflictError",
     "HistoryCompactedError",
     "ReadResult",
     "Row",
     "Store",
     "StoreError",
-    "StoreRefusedError",
     "StoreNoAnswerError",
+    "StoreRefusedError",
     "Table",
+    "VersionConflictError",
     "WriteResult",
 ]
--- a/packages/router/src/hemlockhall_router/process/watch.py
+++ b/packages/router/src/hemlockhall_router/process/watch.py
@@ -159,18 +159,18 @@
             return False
         return time.monotonic() - self.last_failure_at < self._timing.entry_grace_s
 
-    def confirm(self, last_change: int, complete_to: int, at: float) -> bool:
+    def confirm(self, last_change: int, complete_to: int, as_of: float) -> bool:
         """Compare with a peer's copy; return whether this one lacks changes.
 
-        The peer's copy has all changes up to version ``complete_to`` as of ``at``,
-        the newest of them at ``last_change``. If this copy has that one too, it is
-        complete up to the same version.
+        At the monotonic time ``as_of`` the peer's copy had all changes up to version
+        ``complete_to``, the newest of them at ``last_change``. If this copy has that
+        one too, it is complete up to the same version.
         """
         if last_change > self.version:
             return True
         if self.version > 0:
             self.version = max(self.version, complete_to)
-            self.complete_as_of = max(self.complete_as_of, at)
+            self.complete_as_of = max(self.complete_as_of, as_of)
         return False
 
     def apply(self, rows: tuple[Row, ...] | list[Row], version: int) -> None:
@@ -226,6 +226,6 @@
 
 
 __all__ = [
-    "WatchPolicy",
     "Watch",
+    "WatchPolicy",
 ]
