--- a/packages/router/src/hemlockhall_router/policy/data_centre_link.py
+++ b/packages/router/src/hemlockhall_router/policy/data_centre_link.py
@@ -14,7 +14,7 @@
 
 # Part of the hosts that share a pipe which may choose it at the same moment: those
 # whose streams broke together, before any of them counts what the others send.
-BURST_PART = 0.25
+BURST_FRACTION = 0.25
 
 
 class DataCentreLinks:
@@ -40,12 +40,12 @@
     ) -> None:
         self._hosts = hosts
         self._clock = clock
-        self._free_at: dict[frozenset[str], float] = {}
+        self._busy_until: dict[frozenset[str], float] = {}
 
-    def backlog_s(self, here: str, there: str) -> float:
+    def backlog_s(self, source: str, destination: str) -> float:
         """Return for how many seconds a pipe is taken."""
-        free_at = self._free_at.get(frozenset((here, there)), 0.0)
-        return max(0.0, free_at - self._clock())
+        busy_until = self._busy_until.get(frozenset((source, destination)), 0.0)
+        return max(0.0, busy_until - self._clock())
 
     def burst_s(self, model: Model, tokens: int) -> float:
         """Return for how many seconds a pipe is taken by what hosts send together.
@@ -53,19 +53,21 @@
         Streams that break together are placed within milliseconds. Their prompts
         would each find the pipe free, and hold up the streams that cross it.
         """
-        return transfer_s(model, tokens) * max(1.0, self._hosts() * BURST_PART)
+        return transfer_s(model, tokens) * max(1.0, self._hosts() * BURST_FRACTION)
 
     def record_transfer(self, path: Path, model: Model, tokens: int) -> None:
         """Count the activations of ``tokens`` tokens that a path sends."""
         now = self._clock()
-        took_s = transfer_s(model, tokens) * max(1, self._hosts())
-        before = path.stages[0].endpoint.data_centre
-        for part in path.stages[1:]:
-            here = part.endpoint.data_centre
-            if here != before:
-                pair = frozenset((before, here))
-                self._free_at[pair] = max(now, self._free_at.get(pair, 0.0)) + took_s
-            before = here
+        duration_s = transfer_s(model, tokens) * max(1, self._hosts())
+        source = path.stages[0].endpoint.data_centre
+        for stage in path.stages[1:]:
+            destination = stage.endpoint.data_centre
+            if destination != source:
+                pair = frozenset((source, destination))
+                self._busy_until[pair] = (
+                    max(now, self._busy_until.get(pair, 0.0)) + duration_s
+                )
+            source = destination
 
 
 def transfer_s(model: Model, tokens: int) -> float:
--- a/packages/router/src/hemlockhall_router/policy/silence.py
+++ b/packages/router/src/hemlockhall_router/policy/silence.py
@@ -6,12 +6,12 @@
 # deviations beyond the average that are no surprise: as for retransmission timeouts.
 AVERAGE_WEIGHT = 0.125
 DEVIATION_WEIGHT = 0.25
-DEVIATIONS = 4.0
+DEVIATION_FACTOR = 4.0
 # Intervals after which the estimate is used.
-SETTLED = 4
+MIN_INTERVALS = 4
 # Part of the longest silence allowed below which no silence counts: a check costs a
 # call, and a host itself is late by some milliseconds.
-FLOOR_PART = 0.6
+MIN_LIMIT_FRACTION = 0.6
 
 
 class EventIntervalEstimator:
@@ -38,10 +38,10 @@
 
     def silence_limit_s(self, longest_s: float) -> float:
         """Return the silence that is a surprise, ``longest_s`` at most."""
-        if self._count < SETTLED:
+        if self._count < MIN_INTERVALS:
             return longest_s
-        expected_s = self._average_s + DEVIATIONS * self._deviation_s
-        return min(longest_s, max(longest_s * FLOOR_PART, expected_s))
+        expected_s = self._average_s + DEVIATION_FACTOR * self._deviation_s
+        return min(longest_s, max(longest_s * MIN_LIMIT_FRACTION, expected_s))
 
 
 __all__ = [
--- a/packages/router/src/hemlockhall_router/policy/utilization.py
+++ b/packages/router/src/hemlockhall_router/policy/utilization.py
@@ -32,26 +32,26 @@
     return max(1.0, free_mb / token_mb) if token_mb else 1.0
 
 
-def utilization(record: EndpointRecord, model: Model, size: int) -> float:
+def utilization(record: EndpointRecord, model: Model, tokens: int) -> float:
     """Return the part of an endpoint's memory taken with one more request.
 
     ``size`` is the request's tokens.
     """
-    return (record.token_load + size) / token_capacity(record, model)
+    return (record.token_load + tokens) / token_capacity(record, model)
 
 
-def load_penalty(part: float) -> float:
+def load_penalty(fraction: float) -> float:
     """Return a convex measure of a utilization: 0 when empty, 7 at 0.9.
 
     Two endpoints at 0.5 are better than one at 0.2 and one at 0.8: an engine
     whose memory runs out preempts requests in the middle of their streams.
     """
-    if part >= SATURATION - SATURATION_MARGIN:
-        return OVERLOAD_PENALTY * part
-    return part * part / (SATURATION - part)
+    if fraction >= SATURATION - SATURATION_MARGIN:
+        return OVERLOAD_PENALTY * fraction
+    return fraction * fraction / (SATURATION - fraction)
 
 
-def prefill_ms(record: EndpointRecord, model: Model, size: int, hosts: int) -> float:
+def prefill_ms(record: EndpointRecord, model: Model, tokens: int, hosts: int) -> float:
     """Return the milliseconds for which one layer reads the prompts sent there.
 
     Streams of a lost endpoint go on elsewhere all at once, at all hosts, before
@@ -62,16 +62,16 @@
     accelerator = model.accelerators.get(record.endpoint.accelerator)
     if accelerator is None or not model.prefill_tokens_per_s:
         return 0.0
-    unread = max(record.prefill_tokens * hosts, record.remote_prefill_tokens)
-    tokens = unread + size
-    read_ms = (
-        tokens
+    prompt_tokens = max(record.prefill_tokens * hosts, record.remote_prefill_tokens)
+    total_tokens = prompt_tokens + tokens
+    all_layers_ms = (
+        total_tokens
         * accelerator.prefill_factor
         * record.slowdown
         / model.prefill_tokens_per_s
         * 1000
     )
-    return read_ms / model.layers
+    return all_layers_ms / model.layers
 
 
 __all__ = [
--- a/packages/router/src/hemlockhall_router/version/balance.py
+++ b/packages/router/src/hemlockhall_router/version/balance.py
@@ -6,8 +6,8 @@
 
 from hemlockhall_router.version.coverage import Coverage
 from hemlockhall_router.version.endpoint import LayerRange
-from hemlockhall_router.version.repair import spares
-from hemlockhall_router.version.target import fastest_first, target_size, usual_fill
+from hemlockhall_router.version.repair import select_spares
+from hemlockhall_router.version.target import choose_fill, fastest_first, target_size
 
 if TYPE_CHECKING:
     from hemlockhall_router.version.member import Member
@@ -15,79 +15,83 @@
 
 # Orders at once that make a whole copy safer; loads share the weight store, and
 # the next repair should not have to wait for them.
-IMPROVE_AT_ONCE = 4
+MAX_REBALANCE_ORDERS = 4
 # Filling from which a spare member is moved to relieve another one: below it the
 # tight one has room for more than half of what the others have.
-TIGHT = 0.8
+RELIEF_FILL = 0.8
 
 
-def improve_group(
+def rebalance_group(
     model: Model, group: list[Member], *, only_empty: bool = False
 ) -> dict[str, LayerRange]:
     """Return orders that make a whole copy safer; they interrupt nothing."""
-    fill = usual_fill(model, group)
+    fill = choose_fill(model, group)
     coverage = Coverage(model, group)
-    kept = Coverage.kept(model, group)
+    retained = Coverage.retained(model, group)
     orders: dict[str, LayerRange] = {}
     for member in fastest_first(model, group):
         size = target_size(model, member, fill)
-        if member.fixed or (only_empty and member.held is not None):
+        if member.locked or (only_empty and member.assigned is not None):
             continue
-        if member.held is None:
-            layers = weakest(coverage, group, size, model.layers)
-        elif member.held.size < size:
-            layers = _grown(coverage, member.held, size, model.layers)
-        elif member.held.size > size:
-            layers = _shrunk(kept, member, size)
-            if layers == member.held and member.filling > TIGHT and not orders:
-                found = _relief(model, member, size, group)
-                if found:
-                    return found
+        if member.assigned is None:
+            layers = least_covered_range(coverage, group, size, model.layers)
+        elif member.assigned.size < size:
+            layers = _grow_range(coverage, member.assigned, size, model.layers)
+        elif member.assigned.size > size:
+            layers = _shrink_range(retained, member, size)
+            if (
+                layers == member.assigned
+                and member.fill_fraction > RELIEF_FILL
+                and not orders
+            ):
+                relief = _relieve(model, member, size, group)
+                if relief:
+                    return relief
         else:
             continue
-        if layers == member.held:
+        if layers == member.assigned:
             continue
-        if member.held is not None and len(orders) >= IMPROVE_AT_ONCE:
+        if member.assigned is not None and len(orders) >= MAX_REBALANCE_ORDERS:
             continue
         # Two members that hold the same layers must not both give them up.
-        if member.kept is not None:
-            kept.add(member.kept, -1)
-        if member.held is not None:
-            coverage.add(member.held, -1)
+        if member.retained is not None:
+            retained.add(member.retained, -1)
+        if member.assigned is not None:
+            coverage.add(member.assigned, -1)
         coverage.add(layers)
-        member.held = layers
-        if member.kept is not None:
-            kept.add(member.kept)
+        member.assigned = layers
+        if member.retained is not None:
+            retained.add(member.retained)
         orders[member.endpoint.id] = layers
     return orders
 
 
-def _relief(
-    model: Model, tight: Member, size: int, group: list[Member]
+def _relieve(
+    model: Model, overfull: Member, size: int, group: list[Member]
 ) -> dict[str, LayerRange]:
     """Let a spare member hold the layers that a tight one has too many.
 
     It took them over from a lost endpoint and has memory for a few requests
     left, which bounds the whole copy. It gives them up in a later step.
     """
-    assert tight.held is not None
-    excess = LayerRange(tight.held.first, tight.held.end - size)
-    if tight.held.first == 0:
-        excess = LayerRange(size, tight.held.end)
-    others = [member for member in group if member is not tight]
-    chosen = spares(model, excess, others)
-    if not chosen or sum(member.most for member in chosen) < excess.size:
+    assert overfull.assigned is not None
+    excess = LayerRange(overfull.assigned.first, overfull.assigned.end - size)
+    if overfull.assigned.first == 0:
+        excess = LayerRange(size, overfull.assigned.end)
+    others = [member for member in group if member is not overfull]
+    selected = select_spares(model, excess, others)
+    if not selected or sum(member.max_layers for member in selected) < excess.size:
         return {}
     orders: dict[str, LayerRange] = {}
     first = excess.first
-    for member in chosen:
-        end = min(excess.end, first + member.most)
+    for member in selected:
+        end = min(excess.end, first + member.max_layers)
         orders[member.endpoint.id] = LayerRange(first, end)
         first = end
     return orders
 
 
-def weakest(
+def least_covered_range(
     coverage: Coverage, group: list[Member], size: int, layers: int
 ) -> LayerRange:
     """Return the range of a size where another holder helps most.
@@ -97,27 +101,29 @@
     """
     starts = {0, layers - size}
     for member in group:
-        if member.held is not None:
-            starts.add(min(member.held.first, layers - size))
-            starts.add(max(0, member.held.end - size))
+        if member.assigned is not None:
+            starts.add(min(member.assigned.first, layers - size))
+            starts.add(max(0, member.assigned.end - size))
     for layer in range(1, layers):
         if coverage.counts[layer] != coverage.counts[layer - 1]:
             starts.add(min(layer, layers - size))
             starts.add(max(0, layer - size))
 
     def gain(start: int) -> tuple[float, int]:
-        return (coverage.need(start, start + size), -start)
+        return (coverage.redundancy_gain(start, start + size), -start)
 
     first = max(sorted(starts), key=gain)
     return LayerRange(first, first + size)
 
 
-def _grown(coverage: Coverage, held: LayerRange, size: int, layers: int) -> LayerRange:
+def _grow_range(
+    coverage: Coverage, assigned: LayerRange, size: int, layers: int
+) -> LayerRange:
     """Return a range grown layer by layer to the side that needs it more."""
-    first, end = held.first, held.end
+    first, end = assigned.first, assigned.end
     while end - first < size:
-        before = coverage.need(first - 1, first) if first > 0 else -1.0
-        after = coverage.need(end, end + 1) if end < layers else -1.0
+        before = coverage.redundancy_gain(first - 1, first) if first > 0 else -1.0
+        after = coverage.redundancy_gain(end, end + 1) if end < layers else -1.0
         if before > after:
             first -= 1
         else:
@@ -125,12 +131,12 @@
     return LayerRange(first, end)
 
 
-def _shrunk(coverage: Coverage, member: Member, size: int) -> LayerRange:
+def _shrink_range(coverage: Coverage, member: Member, size: int) -> LayerRange:
     """Return a range without layers at its edges that others hold too."""
-    assert member.held is not None
-    first, end = member.held.first, member.held.end
+    assert member.assigned is not None
+    first, end = member.assigned.first, member.assigned.end
     while end - first > size and coverage.counts[first] > 1:
-        if first == 0 and not coverage.starts_spared():
+        if first == 0 and not coverage.can_spare_first_layer():
             break
         first += 1
     while end - first > size and coverage.counts[end - 1] > 1:
@@ -139,6 +145,6 @@
 
 
 __all__ = [
-    "improve_group",
-    "weakest",
+    "rebalance_group",
+    "least_covered_range",
 ]
--- a/packages/router/src/hemlockhall_router/version/layout.py
+++ b/packages/router/src/hemlockhall_router/version/layout.py
@@ -12,21 +12,21 @@
 
 from typing import TYPE_CHECKING
 
-from hemlockhall_router.version.balance import improve_group, weakest
-from hemlockhall_router.version.coverage import Coverage, fewest_parts
+from hemlockhall_router.version.balance import least_covered_range, rebalance_group
+from hemlockhall_router.version.coverage import Coverage, min_stages
 from hemlockhall_router.version.endpoint import LayerRange
-from hemlockhall_router.version.member import FILL, FULL, Member
+from hemlockhall_router.version.member import DEFAULT_FILL, MAX_FILL, Member
 from hemlockhall_router.version.path import MAX_STAGES
 from hemlockhall_router.version.repair import (
     fill_by_growth,
-    fill_by_neighbours,
+    fill_by_shifting,
     fill_by_spares,
 )
 from hemlockhall_router.version.target import (
-    capacity,
+    choose_fill,
     fastest_first,
     target_size,
-    usual_fill,
+    total_capacity,
 )
 
 if TYPE_CHECKING:
@@ -43,17 +43,17 @@
 
 # Memory of a group against that of one copy below which the group does not
 # stand alone: what is left over holds requests.
-GROUP_ROOM = 1.2
+MIN_GROUP_COPIES = 1.2
 
 
 def plan_layout(
     model: Model,
     endpoints: Iterable[Endpoint],
-    held: dict[str, LayerRange | None],
+    assigned: dict[str, LayerRange | None],
     serving: dict[str, LayerRange | None] | None = None,
-    fixed: frozenset[str] = frozenset(),
+    locked: frozenset[str] = frozenset(),
     division: ReplicaDivision | None = None,
-    settled: set[GroupState] | None = None,
+    converged: set[GroupState] | None = None,
 ) -> dict[str, LayerRange]:
     """Return the layers that endpoints should be ordered to hold.
 
@@ -78,47 +78,49 @@
         States of groups that an earlier plan found nothing to improve in; brought up
         to date, so that a plan looks only at groups that changed.
     """
-    serving = held if serving is None else serving
-    members = _members(model, endpoints, held, serving, fixed)
-    found = groups(model, members, division)
-    rebuilt = _may_rebuild(model, found)
+    serving = assigned if serving is None else serving
+    members = _members(model, endpoints, assigned, serving, locked)
+    groups = split_groups(model, members, division)
+    rebuild_index = _group_to_rebuild(model, groups)
     repairs = []
-    for index, group in enumerate(found):
-        repairs.append(repair_group(model, group, rebuild=index == rebuilt))
-    orders = _interleaved(repairs)
+    for index, group in enumerate(groups):
+        repairs.append(repair_group(model, group, rebuild=index == rebuild_index))
+    orders = _interleave(repairs)
     if orders:
         return orders
     # Loads share the weight store: while a copy is being mended only endpoints
     # that serve nothing are given layers.
-    whole = not any(Coverage.kept(model, group).holes() for group in found)
-    known = settled if settled is not None else set()
-    calm: set[GroupState] = set()
-    for group in found:
-        state = _state(group, only_empty=not whole)
-        improvements = {}
-        if state not in known:
-            improvements = improve_group(model, group, only_empty=not whole)
-        if not improvements:
-            calm.add(state)
-        orders.update(improvements)
-    if settled is not None:
-        settled.clear()
-        settled.update(calm)
+    complete = not any(Coverage.retained(model, group).gaps() for group in groups)
+    skipped = converged if converged is not None else set()
+    newly_converged: set[GroupState] = set()
+    for group in groups:
+        state = _group_state(group, only_empty=not complete)
+        rebalanced = {}
+        if state not in skipped:
+            rebalanced = rebalance_group(model, group, only_empty=not complete)
+        if not rebalanced:
+            newly_converged.add(state)
+        orders.update(rebalanced)
+    if converged is not None:
+        converged.clear()
+        converged.update(newly_converged)
     return orders
 
 
-def _state(group: list[Member], *, only_empty: bool) -> GroupState:
+def _group_state(group: list[Member], *, only_empty: bool) -> GroupState:
     members = []
     for member in group:
-        members.append((member.endpoint.id, member.held, member.serving, member.fixed))
+        members.append(
+            (member.endpoint.id, member.assigned, member.serving, member.locked)
+        )
     return (only_empty, tuple(members))
 
 
-def _interleaved(found: list[dict[str, LayerRange]]) -> dict[str, LayerRange]:
+def _interleave(orders_by_group: list[dict[str, LayerRange]]) -> dict[str, LayerRange]:
     """Return the orders of all groups, with those that come first in each first."""
     ranked: list[tuple[int, int, str]] = []
     merged: dict[str, LayerRange] = {}
-    for index, orders in enumerate(found):
+    for index, orders in enumerate(orders_by_group):
         merged.update(orders)
         for position, key in enumerate(orders):
             ranked.append((position, index, key))
@@ -133,8 +135,8 @@
 ) -> bool:
     """Return whether each group serves all layers now."""
     members = _members(model, endpoints, serving, serving, frozenset())
-    for group in groups(model, members, division):
-        if Coverage(model, group).holes():
+    for group in split_groups(model, members, division):
+        if Coverage(model, group).gaps():
             return False
     return True
 
@@ -142,55 +144,57 @@
 def endpoints_beyond_max_stages(
     model: Model,
     endpoints: Iterable[Endpoint],
-    held: dict[str, LayerRange | None],
+    assigned: dict[str, LayerRange | None],
     division: ReplicaDivision | None = None,
 ) -> frozenset[str]:
     """Return the ids of the endpoints in groups whose paths engines would refuse."""
-    found: set[str] = set()
-    members = _members(model, endpoints, held, held, frozenset())
-    for group in groups(model, members, division):
-        ranges = [member.held for member in group if member.held is not None]
-        parts = fewest_parts(model, ranges)
-        if parts is not None and parts > MAX_STAGES:
-            found.update(member.endpoint.id for member in group)
-    return frozenset(found)
+    ids: set[str] = set()
+    members = _members(model, endpoints, assigned, assigned, frozenset())
+    for group in split_groups(model, members, division):
+        ranges = [member.assigned for member in group if member.assigned is not None]
+        stages = min_stages(model, ranges)
+        if stages is not None and stages > MAX_STAGES:
+            ids.update(member.endpoint.id for member in group)
+    return frozenset(ids)
 
 
 def _members(
     model: Model,
     endpoints: Iterable[Endpoint],
-    held: dict[str, LayerRange | None],
+    assigned: dict[str, LayerRange | None],
     serving: dict[str, LayerRange | None],
-    fixed: frozenset[str],
+    locked: frozenset[str],
 ) -> list[Member]:
     members = []
     for endpoint in endpoints:
-        most = model.capacity(endpoint.accelerator)
+        capacity = model.capacity(endpoint.accelerator)
         key = endpoint.id
-        if most > 0:
-            layers, now = held.get(key), serving.get(key)
-            members.append(Member(endpoint, most, layers, now, key in fixed))
+        if capacity > 0:
+            layers, layers_now = assigned.get(key), serving.get(key)
+            members.append(
+                Member(endpoint, capacity, layers, layers_now, key in locked)
+            )
     return members
 
 
-def _may_rebuild(model: Model, found: list[list[Member]]) -> int | None:
+def _group_to_rebuild(model: Model, groups: list[list[Member]]) -> int | None:
     """Return which group may give up layers that nobody else holds, if any.
 
     Whether neighbours shift towards a hole or all layers are shared out anew,
     the group is out of service for seconds. Only one does it at a time, since
     all copies away together would have every request refused.
     """
-    broken = None
-    for index, group in enumerate(found):
-        if Coverage(model, group).holes():
-            broken = index if broken is None else broken
-        elif Coverage.kept(model, group).holes():
+    chosen = None
+    for index, group in enumerate(groups):
+        if Coverage(model, group).gaps():
+            chosen = index if chosen is None else chosen
+        elif Coverage.retained(model, group).gaps():
             # It loads what it was ordered to hold; the next one waits for it.
             return None
-    return broken
+    return chosen
 
 
-def groups(
+def split_groups(
     model: Model, members: list[Member], division: ReplicaDivision | None = None
 ) -> list[list[Member]]:
     """Split members into groups that each hold a copy.
@@ -198,31 +202,33 @@
     A data centre stands alone if its memory suffices, as one group for each of its
     replicas; the others together form one group.
     """
-    by_place: dict[str, list[Member]] = {}
+    by_data_centre: dict[str, list[Member]] = {}
     for member in sorted(members, key=lambda member: member.endpoint.id):
-        by_place.setdefault(member.endpoint.data_centre, []).append(member)
-    alone: list[list[Member]] = []
-    rest: list[Member] = []
-    for place in sorted(by_place):
-        group = by_place[place]
-        if capacity(group) >= model.layers * GROUP_ROOM:
-            alone += _replicas(group, division)
+        by_data_centre.setdefault(member.endpoint.data_centre, []).append(member)
+    standalone: list[list[Member]] = []
+    remaining: list[Member] = []
+    for data_centre in sorted(by_data_centre):
+        group = by_data_centre[data_centre]
+        if total_capacity(group) >= model.layers * MIN_GROUP_COPIES:
+            standalone += _split_replicas(group, division)
         else:
-            rest += group
-    if capacity(rest) >= model.layers * GROUP_ROOM or (rest and not alone):
-        alone.append(rest)
-    return alone
+            remaining += group
+    if total_capacity(remaining) >= model.layers * MIN_GROUP_COPIES or (
+        remaining and not standalone
+    ):
+        standalone.append(remaining)
+    return standalone
 
 
-def _replicas(
+def _split_replicas(
     group: list[Member], division: ReplicaDivision | None
 ) -> list[list[Member]]:
     if division is None:
         return [group]
-    parts: dict[Replica, list[Member]] = {}
+    by_replica: dict[Replica, list[Member]] = {}
     for member in group:
-        parts.setdefault(division.replica(member.endpoint), []).append(member)
-    return [parts[replica] for replica in sorted(parts)]
+        by_replica.setdefault(division.replica(member.endpoint), []).append(member)
+    return [by_replica[replica] for replica in sorted(by_replica)]
 
 
 def repair_group(
@@ -232,29 +238,29 @@
 
     The members are brought up to date with the orders.
     """
-    if all(member.held is None for member in group):
-        orders = lay_out(model, group)
+    if all(member.assigned is None for member in group):
+        orders = initial_layout(model, group)
         _apply(group, orders)
         return orders
-    missing = Coverage(model, group).holes()
+    gaps = Coverage(model, group).gaps()
     orders = {}
-    if sum(hole.size for hole in missing) > model.layers // 2:
+    if sum(gap.size for gap in gaps) > model.layers // 2:
         if not rebuild:
             return {}
-        orders = _changes(share_out(model, group), group)
+        orders = _changed(redistribute(model, group), group)
         _apply(group, orders)
         return orders
-    for hole in missing:
+    for gap in gaps:
         # A neighbour that takes over more than usual has memory for few
         # requests left, and bounds the whole copy until it is relieved.
-        found = fill_by_growth(hole, group, FILL)
-        found = found or fill_by_spares(model, hole, group)
-        found = found or fill_by_growth(hole, group, FULL)
+        found = fill_by_growth(gap, group, DEFAULT_FILL)
+        found = found or fill_by_spares(model, gap, group)
+        found = found or fill_by_growth(gap, group, MAX_FILL)
         if not found and rebuild:
-            holding = [member for member in group if member.held is not None]
-            found = fill_by_neighbours(model, hole, holding)
+            holding = [member for member in group if member.assigned is not None]
+            found = fill_by_shifting(model, gap, holding)
         if not found and rebuild:
-            orders = _changes(share_out(model, group), group)
+            orders = _changed(redistribute(model, group), group)
             _apply(group, orders)
             return orders
         orders.update(found)
@@ -262,15 +268,15 @@
     return orders
 
 
-def lay_out(model: Model, group: list[Member]) -> dict[str, LayerRange]:
+def initial_layout(model: Model, group: list[Member]) -> dict[str, LayerRange]:
     """Return the first layout: a copy on the fastest members that hold one.
 
     The others hold what is left of a second copy. Long ranges on fast
     accelerators make paths short, so a token takes less time.
     """
-    fill = usual_fill(model, group)
+    fill = choose_fill(model, group)
     if sum(target_size(model, member, fill) for member in group) < model.layers:
-        return share_out(model, group)
+        return redistribute(model, group)
     orders: dict[str, LayerRange] = {}
     first = 0
     for member in fastest_first(model, group):
@@ -280,33 +286,35 @@
             first = start + size
             orders[member.endpoint.id] = LayerRange(start, first)
             continue
-        taken = Coverage(model, [])
+        covered = Coverage(model, [])
         for layers in orders.values():
-            taken.add(layers)
-        orders[member.endpoint.id] = weakest(taken, group, size, model.layers)
+            covered.add(layers)
+        orders[member.endpoint.id] = least_covered_range(
+            covered, group, size, model.layers
+        )
     return orders
 
 
-def share_out(model: Model, group: list[Member]) -> dict[str, LayerRange]:
+def redistribute(model: Model, group: list[Member]) -> dict[str, LayerRange]:
     """Share all layers out in proportion to capacity.
 
     The present order of the members is kept, so that few layers move.
     """
 
-    def place(member: Member) -> tuple[int, str]:
-        first = member.held.first if member.held else model.layers
+    def position(member: Member) -> tuple[int, str]:
+        first = member.assigned.first if member.assigned else model.layers
         return (first, member.endpoint.id)
 
-    ordered = sorted(group, key=place)
-    total = capacity(ordered)
+    ordered = sorted(group, key=position)
+    total = total_capacity(ordered)
     if total < model.layers:
         return {}
     orders: dict[str, LayerRange] = {}
     first = 0
-    passed = 0
+    cumulative = 0
     for member in ordered:
-        passed += member.capacity
-        end = round(model.layers * passed / total)
+        cumulative += member.capacity
+        end = round(model.layers * cumulative / total)
         end = min(end, first + member.capacity)
         if end > first:
             orders[member.endpoint.id] = LayerRange(first, end)
@@ -314,24 +322,24 @@
     return orders
 
 
-def _changes(
+def _changed(
     wanted: dict[str, LayerRange], group: list[Member]
 ) -> dict[str, LayerRange]:
-    held = {member.endpoint.id: member.held for member in group}
-    return {key: layers for key, layers in wanted.items() if held[key] != layers}
+    assigned = {member.endpoint.id: member.assigned for member in group}
+    return {key: layers for key, layers in wanted.items() if assigned[key] != layers}
 
 
 def _apply(group: list[Member], orders: dict[str, LayerRange]) -> None:
     for member in group:
-        member.held = orders.get(member.endpoint.id, member.held)
+        member.assigned = orders.get(member.endpoint.id, member.assigned)
 
 
 __all__ = [
-    "groups",
-    "lay_out",
+    "split_groups",
+    "initial_layout",
     "plan_layout",
     "repair_group",
-    "share_out",
+    "redistribute",
     "endpoints_beyond_max_stages",
     "is_complete",
 ]
--- a/packages/router/src/hemlockhall_router/version/member.py
+++ b/packages/router/src/hemlockhall_router/version/member.py
@@ -12,10 +12,10 @@
 
 # Part of an endpoint's memory that layers fill in calm times. More holds more
 # layers a second time, so that a loss interrupts less; less holds more requests.
-FILL = 0.7
+DEFAULT_FILL = 0.7
 # The same while layers of a lost endpoint are taken over: room for a few requests
 # until others have taken their part.
-FULL = 0.92
+MAX_FILL = 0.92
 
 
 @dataclass(slots=True)
@@ -28,42 +28,42 @@
 
     endpoint: Endpoint
     capacity: int
-    held: LayerRange | None
+    assigned: LayerRange | None
     serving: LayerRange | None = None
-    fixed: bool = False
+    locked: bool = False
 
     @property
-    def kept(self) -> LayerRange | None:
+    def retained(self) -> LayerRange | None:
         """The layers that it serves now and after the orders under way."""
-        if self.held is None or self.serving is None:
+        if self.assigned is None or self.serving is None:
             return None
-        first = max(self.held.first, self.serving.first)
-        return LayerRange(first, max(first, min(self.held.end, self.serving.end)))
+        first = max(self.assigned.first, self.serving.first)
+        return LayerRange(first, max(first, min(self.assigned.end, self.serving.end)))
 
     @property
-    def filling(self) -> float:
+    def fill_fraction(self) -> float:
         """Part of the memory that layers fill."""
-        return self.held.size / self.capacity if self.held else 0.0
+        return self.assigned.size / self.capacity if self.assigned else 0.0
 
     @property
-    def most(self) -> int:
+    def max_layers(self) -> int:
         """Layers that it holds at most."""
-        return max(1, int(self.capacity * FULL))
+        return max(1, int(self.capacity * MAX_FILL))
 
     @property
-    def room(self) -> int:
+    def spare_layers(self) -> int:
         """Layers of others that it can take over beside its own."""
-        return self.room_at(FULL)
+        return self.spare_layers_at(MAX_FILL)
 
-    def room_at(self, fill: float) -> int:
+    def spare_layers_at(self, fill: float) -> int:
         """Return how many it can take over until a part of its memory is full."""
-        if self.held is None or self.fixed:
+        if self.assigned is None or self.locked:
             return 0
-        return max(0, int(self.capacity * fill) - self.held.size)
+        return max(0, int(self.capacity * fill) - self.assigned.size)
 
 
 __all__ = [
-    "FILL",
-    "FULL",
+    "DEFAULT_FILL",
+    "MAX_FILL",
     "Member",
 ]
--- a/packages/router/src/hemlockhall_router/version/path.py
+++ b/packages/router/src/hemlockhall_router/version/path.py
@@ -21,7 +21,7 @@
 HOP_MS = 0.8
 # Milliseconds more for a start in another data centre: only what the caller sends
 # and gets goes there, and no activations.
-FAR_START_MS = 2.0
+CROSS_DATA_CENTRE_START_MS = 2.0
 
 
 @dataclass(slots=True, frozen=True)
@@ -60,15 +60,15 @@
 
     def uses(self, endpoint_id: str) -> bool:
         """Return whether an endpoint is on the path."""
-        return any(part.endpoint.id == endpoint_id for part in self.stages)
+        return any(stage.endpoint.id == endpoint_id for stage in self.stages)
 
 
 @dataclass(slots=True)
-class _Step:
+class _PartialPath:
     cost: float
     endpoint: Endpoint
     start: int
-    before: _Step | None
+    previous: _PartialPath | None
 
 
 def find_path(
@@ -76,7 +76,7 @@
     endpoints: Iterable[Endpoint],
     home: str,
     cost_of: Callable[[Endpoint], EndpointCost],
-    far_ms: Callable[[str, str], float],
+    cross_data_centre_ms: Callable[[str, str], float],
     first_endpoint_ids: frozenset[str] | None = None,
 ) -> Path | None:
     """Return the cheapest path that starts in data centre ``home``.
@@ -97,36 +97,40 @@
     first_endpoint_ids : frozenset of str, optional
         Ids of the endpoints that may be the first; all if not given.
     """
-    stops = _stops(model, endpoints, cost_of, first_endpoint_ids)
+    cut_points = _find_cuts(model, endpoints, cost_of, first_endpoint_ids)
     # The cheapest step that ends at a cut, for each data centre it ends in.
-    best: dict[int, dict[str, _Step]] = {cut: {} for cut in stops.order}
-    for cut in stops.order[:-1]:
+    best: dict[int, dict[str, _PartialPath]] = {cut: {} for cut in cut_points.cuts}
+    for cut in cut_points.cuts[:-1]:
         if cut > 0 and not best[cut]:
             continue
-        entries: dict[str, tuple[_Step | None, float]] = {}
-        for stage in stops.entered[cut]:
-            place = stage.endpoint.data_centre
-            if place not in entries:
-                entries[place] = _cheapest(best[cut], place, home, far_ms)
-            before, reach = entries[place]
-            reach += stage.cost.stage_ms
+        arrivals: dict[str, tuple[_PartialPath | None, float]] = {}
+        for candidate in cut_points.candidates_at[cut]:
+            data_centre = candidate.endpoint.data_centre
+            if data_centre not in arrivals:
+                arrivals[data_centre] = _cheapest_arrival(
+                    best[cut], data_centre, home, cross_data_centre_ms
+                )
+            previous, arrival_cost = arrivals[data_centre]
+            arrival_cost += candidate.cost.stage_ms
             if cut == 0:
-                reach += stage.cost.start_ms
-            for end in stage.exits:
+                arrival_cost += candidate.cost.start_ms
+            for end in candidate.exits:
                 if end <= cut:
                     continue
-                cost = reach + stage.layer_ms * (end - cut)
-                known = best[end].get(place)
-                if known is None or cost < known.cost:
-                    best[end][place] = _Step(cost, stage.endpoint, cut, before)
-    final = list(best[model.layers].values())
-    if not final:
+                cost = arrival_cost + candidate.layer_ms * (end - cut)
+                best_known = best[end].get(data_centre)
+                if best_known is None or cost < best_known.cost:
+                    best[end][data_centre] = _PartialPath(
+                        cost, candidate.endpoint, cut, previous
+                    )
+    complete = list(best[model.layers].values())
+    if not complete:
         return None
-    return _trace(min(final, key=lambda step: step.cost), model.layers)
+    return _build_path(min(complete, key=lambda partial: partial.cost), model.layers)
 
 
 @dataclass(slots=True)
-class _Stage:
+class _Candidate:
     """An endpoint that may be part of a path; it may be left at ``exits``."""
 
     endpoint: Endpoint
@@ -136,118 +140,120 @@
 
 
 @dataclass(slots=True)
-class _Stops:
+class _CutPoints:
     """The cuts between layers in order, and what may be entered at each."""
 
-    order: list[int]
-    entered: dict[int, list[_Stage]]
+    cuts: list[int]
+    candidates_at: dict[int, list[_Candidate]]
 
 
-def _stops(
+def _find_cuts(
     model: Model,
     endpoints: Iterable[Endpoint],
     cost_of: Callable[[Endpoint], EndpointCost],
     first_endpoint_ids: frozenset[str] | None,
-) -> _Stops:
+) -> _CutPoints:
     """Return where a path may change endpoints.
 
     The cost is linear in the layer at which one endpoint hands over to the next, so
     the cheapest place is where the next one's range begins or the present one's ends.
     """
     firsts, ends = {0}, {0, model.layers}
-    stages = []
+    candidates = []
     for endpoint in endpoints:
         layers = endpoint.layers
         if layers is None or layers.size <= 0:
             continue
         firsts.add(max(0, layers.first))
         ends.add(min(model.layers, layers.end))
-        stages.append(_stage(model, endpoint, cost_of(endpoint)))
-    order = sorted(firsts | ends)
-    left_at = sorted(firsts)
-    entered_at = sorted(ends)
-    entered: dict[int, list[_Stage]] = {cut: [] for cut in order}
-    for stage in stages:
-        layers = stage.endpoint.layers
+        candidates.append(_candidate(model, endpoint, cost_of(endpoint)))
+    cuts = sorted(firsts | ends)
+    exit_cuts = sorted(firsts)
+    entry_cuts = sorted(ends)
+    candidates_at: dict[int, list[_Candidate]] = {cut: [] for cut in cuts}
+    for candidate in candidates:
+        layers = candidate.endpoint.layers
         assert layers is not None
         first, end = max(0, layers.first), min(model.layers, layers.end)
-        inner = left_at[bisect_right(left_at, first) : bisect_left(left_at, end)]
-        stage.exits = [*inner, end]
-        for cut in entered_at[bisect_right(entered_at, first) :]:
+        inner = exit_cuts[bisect_right(exit_cuts, first) : bisect_left(exit_cuts, end)]
+        candidate.exits = [*inner, end]
+        for cut in entry_cuts[bisect_right(entry_cuts, first) :]:
             if cut >= end:
                 break
-            entered[cut].append(stage)
+            candidates_at[cut].append(candidate)
         if (
             first > 0
             or first_endpoint_ids is None
-            or stage.endpoint.id in first_endpoint_ids
+            or candidate.endpoint.id in first_endpoint_ids
         ):
-            entered[first].append(stage)
-    return _Stops(order, entered)
+            candidates_at[first].append(candidate)
+    return _CutPoints(cuts, candidates_at)
 
 
-def _stage(model: Model, endpoint: Endpoint, cost: EndpointCost) -> _Stage:
+def _candidate(model: Model, endpoint: Endpoint, cost: EndpointCost) -> _Candidate:
     accelerator = model.accelerators.get(endpoint.accelerator)
-    pace = accelerator.step_factor if accelerator else 1.0
-    layer_ms = model.step_ms * pace * cost.factor / model.layers + cost.layer_ms
-    return _Stage(endpoint, cost, layer_ms, [])
+    step_factor = accelerator.step_factor if accelerator else 1.0
+    layer_ms = model.step_ms * step_factor * cost.factor / model.layers + cost.layer_ms
+    return _Candidate(endpoint, cost, layer_ms, [])
 
 
-def _cheapest(
-    steps: dict[str, _Step],
-    place: str,
+def _cheapest_arrival(
+    partials: dict[str, _PartialPath],
+    data_centre: str,
     home: str,
-    far_ms: Callable[[str, str], float],
-) -> tuple[_Step | None, float]:
+    cross_data_centre_ms: Callable[[str, str], float],
+) -> tuple[_PartialPath | None, float]:
     """Return the step from which a data centre is reached at the least cost."""
-    if not steps:
-        return None, HOP_MS + (FAR_START_MS if place != home else 0.0)
+    if not partials:
+        return None, HOP_MS + (
+            CROSS_DATA_CENTRE_START_MS if data_centre != home else 0.0
+        )
     chosen = None
     cost = float("inf")
-    for here, step in steps.items():
-        reach = step.cost + HOP_MS
-        if here != place:
-            reach += far_ms(here, place)
-        if reach < cost:
-            chosen, cost = step, reach
+    for source, partial in partials.items():
+        arrival_cost = partial.cost + HOP_MS
+        if source != data_centre:
+            arrival_cost += cross_data_centre_ms(source, data_centre)
+        if arrival_cost < cost:
+            chosen, cost = partial, arrival_cost
     return chosen, cost
 
 
-def _trace(step: _Step, layers: int) -> Path | None:
-    cost = step.cost
-    parts: list[Stage] = []
+def _build_path(partial: _PartialPath, layers: int) -> Path | None:
+    cost = partial.cost
+    stages: list[Stage] = []
     end = layers
-    cursor: _Step | None = step
+    cursor: _PartialPath | None = partial
     while cursor is not None:
-        parts.append(Stage(cursor.endpoint, LayerRange(cursor.start, end)))
+        stages.append(Stage(cursor.endpoint, LayerRange(cursor.start, end)))
         end = cursor.start
-        cursor = cursor.before
-    parts.reverse()
-    merged = _merge(parts)
+        cursor = cursor.previous
+    stages.reverse()
+    merged = _merge_repeated(stages)
     if len(merged) > MAX_STAGES:
         return None
     return Path(tuple(merged), cost)
 
 
-def _merge(parts: list[Stage]) -> list[Stage]:
+def _merge_repeated(stages: list[Stage]) -> list[Stage]:
     """Give an endpoint that stands twice all layers in between.
 
     An engine refuses a path on which it stands twice. It holds one range
     without gaps, so it can run what lies between its two parts itself.
     """
     merged: list[Stage] = []
-    for part in parts:
-        at = None
+    for stage in stages:
+        earlier_index = None
         for index, earlier in enumerate(merged):
-            if earlier.endpoint.id == part.endpoint.id:
-                at = index
+            if earlier.endpoint.id == stage.endpoint.id:
+                earlier_index = index
                 break
-        if at is None:
-            merged.append(part)
+        if earlier_index is None:
+            merged.append(stage)
             continue
-        first = merged[at].layers.first
-        del merged[at:]
-        merged.append(Stage(part.endpoint, LayerRange(first, part.layers.end)))
+        first = merged[earlier_index].layers.first
+        del merged[earlier_index:]
+        merged.append(Stage(stage.endpoint, LayerRange(first, stage.layers.end)))
     return merged
 
 
--- a/packages/router/src/hemlockhall_router/version/repair.py
+++ b/packages/router/src/hemlockhall_router/version/repair.py
@@ -13,32 +13,32 @@
 
 
 def fill_by_growth(
-    hole: LayerRange, group: list[Member], fill: float
+    gap: LayerRange, group: list[Member], fill: float
 ) -> dict[str, LayerRange]:
     """Let the holders next to a hole take it beside what they hold.
 
     Nothing goes out of service, and both load at the same time. Each fills at
     most the part ``fill`` of its memory.
     """
-    holding = [member for member in group if member.held is not None]
-    before = _ending(holding, hole.first, [])
-    after = _starting(holding, hole.end, [])
-    room_before = before.room_at(fill) if before is not None else 0
-    room_after = after.room_at(fill) if after is not None else 0
-    if room_before + room_after < hole.size:
+    holding = [member for member in group if member.assigned is not None]
+    before = _neighbour_before(holding, gap.first, [])
+    after = _neighbour_after(holding, gap.end, [])
+    spare_before = before.spare_layers_at(fill) if before is not None else 0
+    spare_after = after.spare_layers_at(fill) if after is not None else 0
+    if spare_before + spare_after < gap.size:
         return {}
-    half = hole.size // 2 if room_after else hole.size
-    cut = hole.first + min(room_before, max(hole.size - room_after, half))
+    half = gap.size // 2 if spare_after else gap.size
+    cut = gap.first + min(spare_before, max(gap.size - spare_after, half))
     orders: dict[str, LayerRange] = {}
-    if before is not None and before.held is not None and cut > hole.first:
-        orders[before.endpoint.id] = LayerRange(before.held.first, cut)
-    if after is not None and after.held is not None and cut < hole.end:
-        orders[after.endpoint.id] = LayerRange(cut, after.held.end)
+    if before is not None and before.assigned is not None and cut > gap.first:
+        orders[before.endpoint.id] = LayerRange(before.assigned.first, cut)
+    if after is not None and after.assigned is not None and cut < gap.end:
+        orders[after.endpoint.id] = LayerRange(cut, after.assigned.end)
     return orders
 
 
 def fill_by_spares(
-    model: Model, hole: LayerRange, group: list[Member]
+    model: Model, gap: LayerRange, group: list[Member]
 ) -> dict[str, LayerRange]:
     """Let members take a hole that hold nothing, or nothing but what others do.
 
@@ -46,51 +46,53 @@
     member that gives up layers does so when the last stream there has ended,
     so small ones are preferred: they carry less, and several load at once.
     """
-    chosen = spares(model, hole, group)
-    room = sum(member.most for member in chosen)
-    if room < hole.size:
+    chosen = select_spares(model, gap, group)
+    total = sum(member.max_layers for member in chosen)
+    if total < gap.size:
         return {}
     orders: dict[str, LayerRange] = {}
-    first = hole.first
-    passed = 0
+    first = gap.first
+    cumulative = 0
     for member in chosen:
-        passed += member.most
-        end = min(hole.first + round(hole.size * passed / room), first + member.most)
+        cumulative += member.max_layers
+        end = min(
+            gap.first + round(gap.size * cumulative / total), first + member.max_layers
+        )
         if end > first:
             orders[member.endpoint.id] = LayerRange(first, end)
         first = max(first, end)
-    return orders if first >= hole.end else {}
+    return orders if first >= gap.end else {}
 
 
-def spares(model: Model, hole: LayerRange, group: list[Member]) -> list[Member]:
+def select_spares(model: Model, gap: LayerRange, group: list[Member]) -> list[Member]:
     """Return the members that take a hole: empty ones, then the smallest."""
     # Layers that somebody still loads do not make their present holder spare.
-    coverage = Coverage.kept(model, group)
+    coverage = Coverage.retained(model, group)
     chosen: list[Member] = []
-    room = 0
-    while room < hole.size:
-        free = []
+    total = 0
+    while total < gap.size:
+        candidates = []
         for member in group:
-            if member.fixed or member in chosen:
+            if member.locked or member in chosen:
                 continue
-            if member.held is None or coverage.without(member):
-                free.append(member)
-        if not free:
+            if member.assigned is None or coverage.is_redundant(member):
+                candidates.append(member)
+        if not candidates:
             break
-        member = min(free, key=_cost_of_use)
-        if member.kept is not None:
-            coverage.add(member.kept, -1)
+        member = min(candidates, key=_spare_cost)
+        if member.retained is not None:
+            coverage.add(member.retained, -1)
         chosen.append(member)
-        room += member.most
+        total += member.max_layers
     return chosen
 
 
-def _cost_of_use(member: Member) -> tuple[bool, int, str]:
-    return (member.held is not None, member.capacity, member.endpoint.id)
+def _spare_cost(member: Member) -> tuple[bool, int, str]:
+    return (member.assigned is not None, member.capacity, member.endpoint.id)
 
 
-def fill_by_neighbours(
-    model: Model, hole: LayerRange, holding: list[Member]
+def fill_by_shifting(
+    model: Model, gap: LayerRange, holding: list[Member]
 ) -> dict[str, LayerRange]:
     """Let the nearest holders on both sides take a hole, each a little.
 
@@ -100,99 +102,113 @@
     """
     left: list[Member] = []
     right: list[Member] = []
-    first, end = hole.first, hole.end
-    while sum(member.room for member in (*left, *right)) < hole.size:
-        before = _ending(holding, first, left + right) if first > 0 else None
-        after = _starting(holding, end, left + right) if end < model.layers else None
+    first, end = gap.first, gap.end
+    while sum(member.spare_layers for member in (*left, *right)) < gap.size:
+        before = _neighbour_before(holding, first, left + right) if first > 0 else None
+        after = (
+            _neighbour_after(holding, end, left + right) if end < model.layers else None
+        )
         if before is None and after is None:
             return {}
-        nearer_left = len(left) <= len(right)
-        if before is not None and (nearer_left or after is None):
-            assert before.held is not None
+        prefer_left = len(left) <= len(right)
+        if before is not None and (prefer_left or after is None):
+            assert before.assigned is not None
             left.insert(0, before)
-            first = before.held.first
+            first = before.assigned.first
         elif after is not None:
-            assert after.held is not None
+            assert after.assigned is not None
             right.append(after)
-            end = after.held.end
-    return _spread(LayerRange(first, end), hole, left, right)
+            end = after.assigned.end
+    return _distribute(LayerRange(first, end), gap, left, right)
 
 
-def _ending(holding: list[Member], layer: int, taken: list[Member]) -> Member | None:
+def _neighbour_before(
+    holding: list[Member], layer: int, excluded: list[Member]
+) -> Member | None:
     """Return the roomiest holder of the layers right before ``layer``."""
-    found = []
+    candidates = []
     for member in holding:
-        held = member.held
-        if held and held.first < layer <= held.end and member not in taken:
-            found.append(member)
-    return max(found, key=_by_room, default=None)
-
-
-def _starting(holding: list[Member], layer: int, taken: list[Member]) -> Member | None:
+        assigned = member.assigned
+        if (
+            assigned
+            and assigned.first < layer <= assigned.end
+            and member not in excluded
+        ):
+            candidates.append(member)
+    return max(candidates, key=_spare_layers, default=None)
+
+
+def _neighbour_after(
+    holding: list[Member], layer: int, excluded: list[Member]
+) -> Member | None:
     """Return the roomiest holder of the layers from ``layer`` on."""
-    found = []
+    candidates = []
     for member in holding:
-        held = member.held
-        if held and held.first <= layer < held.end and member not in taken:
-            found.append(member)
-    return max(found, key=_by_room, default=None)
-
-
-def _spread(
-    window: LayerRange, hole: LayerRange, left: list[Member], right: list[Member]
+        assigned = member.assigned
+        if (
+            assigned
+            and assigned.first <= layer < assigned.end
+            and member not in excluded
+        ):
+            candidates.append(member)
+    return max(candidates, key=_spare_layers, default=None)
+
+
+def _distribute(
+    window: LayerRange, gap: LayerRange, left: list[Member], right: list[Member]
 ) -> dict[str, LayerRange]:
     """Share a window out in order; each takes its part of the hole by its room."""
-    chain = left + right
-    room = sum(member.room for member in chain)
+    members = left + right
+    total = sum(member.spare_layers for member in members)
     orders: dict[str, LayerRange] = {}
     first = window.first
-    passed = 0
-    given = 0
-    old = window.first
-    for member in chain:
-        assert member.held is not None
-        if member in right and old < hole.end:
-            old = hole.end
-        size = _own_size(member, old, left, right, hole)
-        old += size
-        passed += member.room
-        take = round(hole.size * passed / room) - given
-        given += take
-        layers = LayerRange(first, first + size + take)
+    cumulative = 0
+    gained_total = 0
+    position = window.first
+    for member in members:
+        assert member.assigned is not None
+        if member in right and position < gap.end:
+            position = gap.end
+        size = _window_size(member, position, left, right, gap)
+        position += size
+        cumulative += member.spare_layers
+        gained = round(gap.size * cumulative / total) - gained_total
+        gained_total += gained
+        layers = LayerRange(first, first + size + gained)
         first = layers.end
-        if layers != member.held and layers.size > 0:
+        if layers != member.assigned and layers.size > 0:
             orders[member.endpoint.id] = layers
     return orders
 
 
-def _own_size(
+def _window_size(
     member: Member,
     start: int,
     left: list[Member],
     right: list[Member],
-    hole: LayerRange,
+    gap: LayerRange,
 ) -> int:
     """Return how many layers of the window a holder has from ``start`` on."""
-    assert member.held is not None
-    chain = left if member in left else right
-    index = chain.index(member)
-    end = member.held.end
+    assert member.assigned is not None
+    side = left if member in left else right
+    index = side.index(member)
+    end = member.assigned.end
     if member in left:
-        end = hole.first
-        if index + 1 < len(chain):
-            following = chain[index + 1].held
-            assert following is not None
-            end = following.first
+        end = gap.first
+        if index + 1 < len(side):
+            next_assigned = side[index + 1].assigned
+            assert next_assigned is not None
+            end = next_assigned.first
     return max(0, end - start)
 
 
-def _by_room(member: Member) -> int:
-    return member.room
+def _spare_layers(member: Member) -> int:
+    return member.spare_layers
 
 
 __all__ = [
     "fill_by_growth",
-    "fill_by_neighbours",
+    "fill_by_shifting",
     "fill_by_spares",
-    "spares",
+    "select_spares",
 ]
--- a/packages/router/src/hemlockhall_router/version/replica.py
+++ b/packages/router/src/hemlockhall_router/version/replica.py
@@ -21,15 +21,15 @@
 # Copies that the memory of each replica must hold for a data centre to be divided
 # once more, and below which it is divided once less: losses that come and go must
 # not divide it anew each time.
-DIVIDE_COPIES = 3.0
-JOIN_COPIES = 2.0
+SPLIT_COPIES = 3.0
+MERGE_COPIES = 2.0
 # Times that a data centre is halved at most.
-MAX_HALVINGS = 12
+MAX_SPLITS = 12
 # Endpoints whose hash is kept.
-HASHES = 8192
+HASH_CACHE_SIZE = 8192
 
 
-@lru_cache(maxsize=HASHES)
+@lru_cache(maxsize=HASH_CACHE_SIZE)
 def _hash(endpoint_id: str) -> int:
     digest = hashlib.blake2b(endpoint_id.encode(), digest_size=4).digest()
     return int.from_bytes(digest, "big")
@@ -51,33 +51,33 @@
     each replica in two, so no endpoint changes places with another one.
     """
 
-    halvings: dict[str, int] = field(default_factory=dict)
+    splits: dict[str, int] = field(default_factory=dict)
 
     def update(self, model: Model, endpoints: Iterable[Endpoint]) -> None:
         """Adapt to the endpoints that live."""
-        by_place: dict[str, list[Endpoint]] = {}
+        by_data_centre: dict[str, list[Endpoint]] = {}
         for endpoint in endpoints:
-            by_place.setdefault(endpoint.data_centre, []).append(endpoint)
-        for place, found in by_place.items():
-            halvings = self.halvings.get(place, 0)
-            while halvings and _least(model, found, halvings) < JOIN_COPIES:
-                halvings -= 1
-            while halvings < MAX_HALVINGS:
-                if _least(model, found, halvings + 1) < DIVIDE_COPIES:
+            by_data_centre.setdefault(endpoint.data_centre, []).append(endpoint)
+        for data_centre, members in by_data_centre.items():
+            splits = self.splits.get(data_centre, 0)
+            while splits and _min_copies(model, members, splits) < MERGE_COPIES:
+                splits -= 1
+            while splits < MAX_SPLITS:
+                if _min_copies(model, members, splits + 1) < SPLIT_COPIES:
                     break
-                halvings += 1
-            self.halvings[place] = halvings
+                splits += 1
+            self.splits[data_centre] = splits
 
     def replica(self, endpoint: Endpoint) -> Replica:
         """Return the replica that an endpoint belongs to."""
-        place = endpoint.data_centre
-        mask = (1 << self.halvings.get(place, 0)) - 1
-        return Replica(_hash(endpoint.id) & mask, place)
+        data_centre = endpoint.data_centre
+        mask = (1 << self.splits.get(data_centre, 0)) - 1
+        return Replica(_hash(endpoint.id) & mask, data_centre)
 
 
-def _least(model: Model, endpoints: list[Endpoint], halvings: int) -> float:
+def _min_copies(model: Model, endpoints: list[Endpoint], splits: int) -> float:
     """Return the copies that the memory of the smallest replica holds."""
-    memory = [0] * (1 << halvings)
+    memory = [0] * (1 << splits)
     mask = len(memory) - 1
     for endpoint in endpoints:
         memory[_hash(endpoint.id) & mask] += model.capacity(endpoint.accelerator)
--- a/packages/router/src/hemlockhall_router/version/routing.py
+++ b/packages/router/src/hemlockhall_router/version/routing.py
@@ -85,9 +85,9 @@
     typical_output_tokens: float = 0.0
     concurrent_loads: int = 1
 
-    def capacity(self, kind: str) -> int:
+    def capacity(self, accelerator_name: str) -> int:
         """Return how many layers an accelerator holds at most."""
-        accelerator = self.accelerators.get(kind)
+        accelerator = self.accelerators.get(accelerator_name)
         if accelerator is None or self.layer_mb <= 0:
             return 0
         return min(self.layers, int(accelerator.memory_mb / self.layer_mb))
--- a/packages/router/src/hemlockhall_router/version/target.py
+++ b/packages/router/src/hemlockhall_router/version/target.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from hemlockhall_router.version.member import FILL, FULL
+from hemlockhall_router.version.member import DEFAULT_FILL, MAX_FILL
 
 if TYPE_CHECKING:
     from hemlockhall_router.version.member import Member
@@ -12,30 +12,30 @@
 
 # Layers that a group should hold at least, in copies: the ranges must overlap
 # for layers to pass from one member to another without an interruption.
-SLACK = 1.05
+MIN_COVERAGE = 1.05
 FILL_STEP = 0.01
 
 
-def capacity(members: list[Member]) -> int:
+def total_capacity(members: list[Member]) -> int:
     """Return how many layers the members' memory holds together."""
     return sum(member.capacity for member in members)
 
 
-def usual_fill(model: Model, group: list[Member]) -> float:
+def choose_fill(model: Model, group: list[Member]) -> float:
     """Return the part of its memory that each member's layers should fill.
 
     More than usual where that does not hold a copy and ``SLACK``: then those
     beside a member that took over too much grow, and it gives that up again.
     """
-    fill = FILL
-    while fill < FULL:
+    fill = DEFAULT_FILL
+    while fill < MAX_FILL:
         if (
             sum(target_size(model, member, fill) for member in group)
-            >= model.layers * SLACK
+            >= model.layers * MIN_COVERAGE
         ):
             break
         fill += FILL_STEP
-    return min(fill, FULL)
+    return min(fill, MAX_FILL)
 
 
 def target_size(model: Model, member: Member, fill: float) -> int:
@@ -46,15 +46,15 @@
 def fastest_first(model: Model, group: list[Member]) -> list[Member]:
     def rank(member: Member) -> tuple[float, int, str]:
         accelerator = model.accelerators.get(member.endpoint.accelerator)
-        pace = accelerator.prefill_factor if accelerator else 1.0
-        return (pace, -member.capacity, member.endpoint.id)
+        prefill_factor = accelerator.prefill_factor if accelerator else 1.0
+        return (prefill_factor, -member.capacity, member.endpoint.id)
 
     return sorted(group, key=rank)
 
 
 __all__ = [
-    "capacity",
+    "total_capacity",
     "fastest_first",
     "target_size",
-    "usual_fill",
+    "choose_fill",
 ]
--- a/tests/router/test_layout.py
+++ b/tests/router/test_layout.py
@@ -9,12 +9,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hemlockhall_router.version.coverage import STARTS, Coverage
+from hemlockhall_router.version.coverage import EXTRA_FIRST_LAYER_HOLDERS, Coverage
 from hemlockhall_router.version.endpoint import Endpoint, LayerRange
 from hemlockhall_router.version.layout import plan_layout
-from hemlockhall_router.version.member import FILL, Member
+from hemlockhall_router.version.member import DEFAULT_FILL, Member
 from hemlockhall_router.version.path import (
-    FAR_START_MS,
+    CROSS_DATA_CENTRE_START_MS,
     HOP_MS,
     EndpointCost,
     find_path,
@@ -57,32 +57,32 @@
     return made
 
 
-def settle(found: list[Endpoint], held: dict[str, LayerRange | None]) -> int:
+def settle(found: list[Endpoint], assigned: dict[str, LayerRange | None]) -> int:
     """Carry out orders until there are none; return how many there were."""
     count = 0
     for _ in range(40):
-        orders = plan_layout(MODEL, found, held)
+        orders = plan_layout(MODEL, found, assigned)
         if not orders:
             return count
         count += len(orders)
-        held.update(orders)
+        assigned.update(orders)
     pytest.fail("the plan does not come to rest")
 
 
-def uncovered(found: list[Endpoint], held: dict, place: str) -> list[LayerRange]:
+def uncovered(found: list[Endpoint], assigned: dict, place: str) -> list[LayerRange]:
     members = []
     for endpoint in found:
-        if endpoint.data_centre == place and held.get(endpoint.id):
-            members.append(Member(endpoint, 1, held[endpoint.id]))
-    return Coverage(MODEL, members).holes()
+        if endpoint.data_centre == place and assigned.get(endpoint.id):
+            members.append(Member(endpoint, 1, assigned[endpoint.id]))
+    return Coverage(MODEL, members).gaps()
 
 
-def counts(found: list[Endpoint], held: dict, place: str) -> list[int]:
+def counts(found: list[Endpoint], assigned: dict, place: str) -> list[int]:
     """Return how many endpoints of a data centre hold each layer."""
     coverage = Coverage(MODEL, [])
     for endpoint in found:
-        if endpoint.data_centre == place and held.get(endpoint.id):
-            coverage.add(held[endpoint.id])
+        if endpoint.data_centre == place and assigned.get(endpoint.id):
+            coverage.add(assigned[endpoint.id])
     return coverage.counts
 
 
@@ -99,38 +99,38 @@
     return any(was and not now for was, now in zip(served, left.counts, strict=True))
 
 
-def within_memory(found: list[Endpoint], held: dict) -> bool:
+def within_memory(found: list[Endpoint], assigned: dict) -> bool:
     for endpoint in found:
-        layers = held.get(endpoint.id)
+        layers = assigned.get(endpoint.id)
         if layers and layers.size > MODEL.capacity(endpoint.accelerator):
             return False
     return True
 
 
-def far_ms(here: str, there: str) -> float:
+def cross_data_centre_ms(here: str, there: str) -> float:
     return 12.0
 
 
-def filling(endpoint: Endpoint, held: dict) -> float:
-    return held[endpoint.id].size / MODEL.capacity(endpoint.accelerator)
+def fill_fraction(endpoint: Endpoint, assigned: dict) -> float:
+    return assigned[endpoint.id].size / MODEL.capacity(endpoint.accelerator)
 
 
 class TestFirstPlan:
     def test_each_data_centre_holds_a_copy_within_memory(self) -> None:
         found = endpoints()
-        held: dict[str, LayerRange | None] = {}
-        assert settle(found, held) == len(found)
-        assert within_memory(found, held)
+        assigned: dict[str, LayerRange | None] = {}
+        assert settle(found, assigned) == len(found)
+        assert within_memory(found, assigned)
         for place in PLACES:
-            assert uncovered(found, held, place) == []
+            assert uncovered(found, assigned, place) == []
 
     def test_small_data_centres_share_a_copy(self) -> None:
         found = endpoints({"x": "ll", "y": "hh", "z": "tt"})
-        held: dict[str, LayerRange | None] = {}
-        settle(found, held)
-        members = [Member(e, 1, held[e.id]) for e in found if held.get(e.id)]
-        assert Coverage(MODEL, members).holes() == []
-        assert within_memory(found, held)
+        assigned: dict[str, LayerRange | None] = {}
+        settle(found, assigned)
+        members = [Member(e, 1, assigned[e.id]) for e in found if assigned.get(e.id)]
+        assert Coverage(MODEL, members).gaps() == []
+        assert within_memory(found, assigned)
 
 
 class TestLoss:
@@ -138,12 +138,12 @@
     def test_any_single_loss_is_mended(self, place: str) -> None:
         for lost in range(len(PLACES[place])):
             found = endpoints()
-            held: dict[str, LayerRange | None] = {}
-            settle(found, held)
+            assigned: dict[str, LayerRange | None] = {}
+            settle(found, assigned)
             found = [e for e in found if e.id != f"{place}{lost:02}"]
-            settle(found, held)
-            assert uncovered(found, held, place) == [], lost
-            assert within_memory(found, held)
+            settle(found, assigned)
+            assert uncovered(found, assigned, place) == [], lost
+            assert within_memory(found, assigned)
 
     @pytest.mark.parametrize("place", list(PLACES))
     def test_a_loss_moves_few_layers(self, place: str) -> None:
@@ -152,12 +152,12 @@
         for the loss of one endpoint, and of all copies for three losses."""
         for lost in range(len(PLACES[place])):
             found = endpoints()
-            held: dict[str, LayerRange | None] = {}
-            settle(found, held)
-            gone = held[f"{place}{lost:02}"]
+            assigned: dict[str, LayerRange | None] = {}
+            settle(found, assigned)
+            gone = assigned[f"{place}{lost:02}"]
             found = [e for e in found if e.id != f"{place}{lost:02}"]
-            before = dict(held)
-            orders = plan_layout(MODEL, found, held)
+            before = dict(assigned)
+            orders = plan_layout(MODEL, found, assigned)
             loaded = 0
             for key, layers in orders.items():
                 old = before[key]
@@ -173,11 +173,11 @@
         """Losses in all data centres at once leave holes that neighbours
         cannot fill. If all were rebuilt together nobody would be served."""
         found = endpoints()
-        held: dict[str, LayerRange | None] = {}
-        settle(found, held)
+        assigned: dict[str, LayerRange | None] = {}
+        settle(found, assigned)
         found = [e for e in found if e.id[0] != "y" or e.id < "y06"]
-        held = {e.id: held[e.id] for e in found}
-        for key, layers in plan_layout(MODEL, found, held).items():
+        assigned = {e.id: assigned[e.id] for e in found}
+        for key, layers in plan_layout(MODEL, found, assigned).items():
             assert key.startswith("y"), layers
 
     def test_an_endpoint_that_comes_back_empty_holds_layers_a_second_time(
@@ -187,19 +187,19 @@
         return must protect layers that one holder has, and the others must
         get back the memory for requests that they gave up."""
         found = endpoints()
-        held: dict[str, LayerRange | None] = {}
-        settle(found, held)
+        assigned: dict[str, LayerRange | None] = {}
+        settle(found, assigned)
         without = [e for e in found if e.id != "x05"]
-        settle(without, held)
-        del held["x05"]
-        single = [n for n in range(80) if counts(without, held, "x")[n] == 1]
-        held["x05"] = None
-        settle(found, held)
-        assert uncovered(found, held, "x") == []
-        relief = held["x05"]
+        settle(without, assigned)
+        del assigned["x05"]
+        single = [n for n in range(80) if counts(without, assigned, "x")[n] == 1]
+        assigned["x05"] = None
+        settle(found, assigned)
+        assert uncovered(found, assigned, "x") == []
+        relief = assigned["x05"]
         assert relief is not None
         assert set(range(relief.first, relief.end)) <= set(single)
-        assert max(filling(e, held) for e in found) <= FILL
+        assert max(fill_fraction(e, assigned) for e in found) <= DEFAULT_FILL
 
     @pytest.mark.parametrize("place", list(PLACES))
     def test_the_mending_of_a_loss_takes_nothing_out_of_service(
@@ -210,14 +210,14 @@
         orders may only give up what another endpoint serves."""
         for lost in range(len(PLACES[place])):
             found = endpoints()
-            held: dict[str, LayerRange | None] = {}
-            settle(found, held)
+            assigned: dict[str, LayerRange | None] = {}
+            settle(found, assigned)
             found = [e for e in found if e.id != f"{place}{lost:02}"]
-            held.pop(f"{place}{lost:02}")
-            before = counts(found, held, place)
-            orders = plan_layout(MODEL, found, held)
+            assigned.pop(f"{place}{lost:02}")
+            before = counts(found, assigned, place)
+            orders = plan_layout(MODEL, found, assigned)
             for key, layers in orders.items():
-                old = held[key]
+                old = assigned[key]
                 for layer in range(old.first, old.end):
                     if not layers.first <= layer < layers.end:
                         before[layer] -= 1
@@ -229,11 +229,11 @@
         waited eight seconds for its streams to end before it loaded, and the
         copy was away for as long. Two small ones take the hole instead."""
         found = endpoints()
-        held: dict[str, LayerRange | None] = {}
-        settle(found, held)
-        held = {key: layers for key, layers in held.items() if key != "z03"}
+        assigned: dict[str, LayerRange | None] = {}
+        settle(found, assigned)
+        assigned = {key: layers for key, layers in assigned.items() if key != "z03"}
         found = [e for e in found if e.id != "z03"]
-        orders = plan_layout(MODEL, found, held)
+        orders = plan_layout(MODEL, found, assigned)
         kinds = {e.id: e.accelerator for e in found}
         assert orders
         assert {kinds[key] for key in orders} <= {"l", "t"}
@@ -244,17 +244,17 @@
         as it is: counting the layers ordered as held took both out of service
         at once, and the third alone could not serve their callers."""
         found = endpoints()
-        held: dict[str, LayerRange | None] = {}
-        settle(found, held)
+        assigned: dict[str, LayerRange | None] = {}
+        settle(found, assigned)
         found = [e for e in found if e.id not in LOSSES]
-        serving = {e.id: held[e.id] for e in found}
-        held = dict(serving)
+        serving = {e.id: assigned[e.id] for e in found}
+        assigned = dict(serving)
         for _ in range(10):
-            orders = plan_layout(MODEL, found, held, serving)
-            held.update(orders)
+            orders = plan_layout(MODEL, found, assigned, serving)
+            assigned.update(orders)
         away = []
         for place in PLACES:
-            if gives_up(found, serving, held, place):
+            if gives_up(found, serving, assigned, place):
                 away.append(place)
         assert len(away) == 1
 
@@ -262,23 +262,23 @@
     def test_any_losses_leave_copies_where_memory_suffices(self, seed: int) -> None:
         rng = random.Random(seed)
         found = endpoints()
-        held: dict[str, LayerRange | None] = {}
-        settle(found, held)
+        assigned: dict[str, LayerRange | None] = {}
+        settle(found, assigned)
         for _ in range(3):
             for endpoint in rng.sample(found, rng.randint(1, 4)):
                 if rng.random() < 0.5:
-                    held[endpoint.id] = None
+                    assigned[endpoint.id] = None
                 else:
                     found.remove(endpoint)
-                    held.pop(endpoint.id)
-            settle(found, held)
-            assert within_memory(found, held)
+                    assigned.pop(endpoint.id)
+            settle(found, assigned)
+            assert within_memory(found, assigned)
         for place in PLACES:
             total = sum(
                 MODEL.capacity(e.accelerator) for e in found if e.data_centre == place
             )
             if total >= MODEL.layers * 1.2:
-                assert uncovered(found, held, place) == []
+                assert uncovered(found, assigned, place) == []
 
 
 class TestBalance:
@@ -288,31 +288,31 @@
         pass them: until they get rid of layers most requests are refused,
         while others could hold these a second time."""
         found = endpoints()
-        held: dict[str, LayerRange | None] = {}
-        settle(found, held)
+        assigned: dict[str, LayerRange | None] = {}
+        settle(found, assigned)
         tight = next(e for e in found if e.id == "z03")
-        layers = held[tight.id]
-        held[tight.id] = LayerRange(layers.first, layers.first + 11)
-        shifted = next(e for e in found if held[e.id].first == layers.end)
-        held[shifted.id] = LayerRange(layers.end + 3, held[shifted.id].end)
-        settle(found, held)
-        assert uncovered(found, held, "z") == []
-        assert filling(tight, held) <= FILL
+        layers = assigned[tight.id]
+        assigned[tight.id] = LayerRange(layers.first, layers.first + 11)
+        shifted = next(e for e in found if assigned[e.id].first == layers.end)
+        assigned[shifted.id] = LayerRange(layers.end + 3, assigned[shifted.id].end)
+        settle(found, assigned)
+        assert uncovered(found, assigned, "z") == []
+        assert fill_fraction(tight, assigned) <= DEFAULT_FILL
 
     def test_a_tight_endpoint_does_not_keep_others_from_growing(self) -> None:
         """One endpoint has too many layers and nobody can be spared to relieve
         it. Others hold fewer than they have memory for; they must grow, as that
         is what makes somebody spare."""
         found = endpoints({"x": "llllllllll"})
-        held: dict[str, LayerRange | None] = {}
+        assigned: dict[str, LayerRange | None] = {}
         first = 0
         sizes = (11, 7, 7, 7, 8, 8, 8, 8, 8, 8)
         for endpoint, size in zip(found, sizes, strict=True):
-            held[endpoint.id] = LayerRange(first, first + size)
+            assigned[endpoint.id] = LayerRange(first, first + size)
             first += size
-        settle(found, held)
-        assert uncovered(found, held, "x") == []
-        assert sum(held[e.id].size for e in found) > 80
+        settle(found, assigned)
+        assert uncovered(found, assigned, "x") == []
+        assert sum(assigned[e.id].size for e in found) > 80
 
     def test_neighbours_take_a_hole_only_if_nobody_can_be_spared(self) -> None:
         """An endpoint dies, and its neighbours have memory for its layers if
@@ -320,14 +320,14 @@
         and most were refused, while small endpoints held layers that others
         held too."""
         found = endpoints()
-        held: dict[str, LayerRange | None] = {}
-        settle(found, held)
+        assigned: dict[str, LayerRange | None] = {}
+        settle(found, assigned)
         for lost in ("x08", "y06", "z05"):
-            after = {key: layers for key, layers in held.items() if key != lost}
+            after = {key: layers for key, layers in assigned.items() if key != lost}
             left = [e for e in found if e.id != lost]
             after.update(plan_layout(MODEL, left, after))
             assert uncovered(left, after, lost[0]) == []
-            assert max(filling(e, after) for e in left) <= 0.8
+            assert max(fill_fraction(e, after) for e in left) <= 0.8
 
 
 class TestGivingUp:
@@ -341,13 +341,13 @@
         for number in range(3):
             key = f"f{number}"
             found.append(Endpoint(key, "pool", "h", 1, "x", accelerator="f"))
-        held: dict[str, LayerRange | None] = {}
+        assigned: dict[str, LayerRange | None] = {}
         for endpoint in found:
-            held[endpoint.id] = LayerRange(0, 80)
+            assigned[endpoint.id] = LayerRange(0, 80)
         for _ in range(5):
-            held.update(plan_layout(model, found, held))
-            assert uncovered(found, held, "x") == []
-        assert max(held[e.id].size for e in found) <= FILL * 80
+            assigned.update(plan_layout(model, found, assigned))
+            assert uncovered(found, assigned, "x") == []
+        assert max(assigned[e.id].size for e in found) <= DEFAULT_FILL * 80
 
 
 class TestPaths:
@@ -369,7 +369,9 @@
                     layers=layers,
                 )
             )
-        path = find_path(MODEL, found, "x", lambda endpoint: EndpointCost(), far_ms)
+        path = find_path(
+            MODEL, found, "x", lambda endpoint: EndpointCost(), cross_data_centre_ms
+        )
         covered = {n for e in found for n in range(e.layers.first, e.layers.end)}
         if len(covered) < 80:
             assert path is None
@@ -391,12 +393,16 @@
         caller's bytes do not: a path may start elsewhere, and then stays there.
         Where all data centres are alike, it stays at home."""
         found = endpoints(kinds)
-        held: dict[str, LayerRange | None] = {}
-        settle(found, held)
-        holders = [replace(e, layers=held[e.id]) for e in found]
+        assigned: dict[str, LayerRange | None] = {}
+        settle(found, assigned)
+        holders = [replace(e, layers=assigned[e.id]) for e in found]
         for place in kinds:
             path = find_path(
-                MODEL, holders, place, lambda endpoint: EndpointCost(), far_ms
+                MODEL,
+                holders,
+                place,
+                lambda endpoint: EndpointCost(),
+                cross_data_centre_ms,
             )
             places = {part.endpoint.data_centre for part in path.stages}
             assert len(places) == 1
@@ -420,11 +426,13 @@
             reach = HOP_MS + cost_of.stage_ms
             if cut:
                 reach += min(
-                    cost + (far_ms(here, place) if here != place else 0.0)
+                    cost + (cross_data_centre_ms(here, place) if here != place else 0.0)
                     for here, cost in best[cut].items()
                 )
             else:
-                reach += cost_of.start_ms + (FAR_START_MS if place != home else 0.0)
+                reach += cost_of.start_ms + (
+                    CROSS_DATA_CENTRE_START_MS if place != home else 0.0
+                )
             factor = KINDS[endpoint.accelerator].step_factor * cost_of.factor
             layer_ms = MODEL.step_ms * factor / MODEL.layers + cost_of.layer_ms
             for end in range(cut + 1, layers.end + 1):
@@ -451,7 +459,7 @@
                 rng.uniform(0, 5),
                 rng.uniform(0, 5),
             )
-        path = find_path(MODEL, found, "x", lambda e: costs[e.id], far_ms)
+        path = find_path(MODEL, found, "x", lambda e: costs[e.id], cross_data_centre_ms)
         cost = path.cost_ms if path is not None else float("inf")
         assert cost == pytest.approx(naive_cost(found, costs, "x"))
 
@@ -460,24 +468,24 @@
     def test_each_copy_has_a_spare_holder_of_the_first_layer(self) -> None:
         """Guards against requests that queue for places at their first endpoint."""
         found = endpoints()
-        held: dict[str, LayerRange | None] = {e.id: None for e in found}
-        settle(found, held)
+        assigned: dict[str, LayerRange | None] = {e.id: None for e in found}
+        settle(found, assigned)
         for place in PLACES:
             starts = 0
-            for key, layers in held.items():
+            for key, layers in assigned.items():
                 if key.startswith(place) and layers and layers.first == 0:
                     starts += 1
-            assert starts >= 1 + STARTS
+            assert starts >= 1 + EXTRA_FIRST_LAYER_HOLDERS
 
     def test_a_holder_keeps_the_first_layer_while_it_is_scarce(self) -> None:
         """Guards against a copy whose requests all start at one endpoint."""
         found = endpoints({"x": "hllllllllll"})
-        held: dict[str, LayerRange | None] = {e.id: None for e in found}
-        settle(found, held)
-        fast = held["x00"]
+        assigned: dict[str, LayerRange | None] = {e.id: None for e in found}
+        settle(found, assigned)
+        fast = assigned["x00"]
         assert fast is not None
-        held["x00"] = LayerRange(0, fast.end + 4)
-        settle(found, held)
-        assert held["x00"].first == 0
-        starts = [layers for layers in held.values() if layers and not layers.first]
-        assert len(starts) >= 1 + STARTS
+        assigned["x00"] = LayerRange(0, fast.end + 4)
+        settle(found, assigned)
+        assert assigned["x00"].first == 0
+        starts = [layers for layers in assigned.values() if layers and not layers.first]
+        assert len(starts) >= 1 + EXTRA_FIRST_LAYER_HOLDERS
--- a/tests/router/test_load_fleet.py
+++ b/tests/router/test_load_fleet.py
@@ -12,14 +12,14 @@
 from hemlockhall_router.policy.data_centre_link import DataCentreLinks
 from hemlockhall_router.process.chooser import Chooser
 from hemlockhall_router.process.replica_index import SAMPLE_SIZE
-from hemlockhall_router.version.coverage import Coverage, fewest_parts
+from hemlockhall_router.version.coverage import Coverage, min_stages
 from hemlockhall_router.version.endpoint import Endpoint, LayerRange
 from hemlockhall_router.version.layout import endpoints_beyond_max_stages, plan_layout
-from hemlockhall_router.version.member import FILL, Member
+from hemlockhall_router.version.member import DEFAULT_FILL, Member
 from hemlockhall_router.version.path import MAX_STAGES
 from hemlockhall_router.version.replica import (
-    DIVIDE_COPIES,
-    JOIN_COPIES,
+    MERGE_COPIES,
+    SPLIT_COPIES,
     Replica,
     ReplicaDivision,
 )
@@ -51,23 +51,23 @@
 def settled(
     found: list[Endpoint], division: ReplicaDivision
 ) -> dict[str, LayerRange | None]:
-    held: dict[str, LayerRange | None] = {e.id: None for e in found}
+    assigned: dict[str, LayerRange | None] = {e.id: None for e in found}
     division.update(MODEL, found)
     for _ in range(60):
-        orders = plan_layout(MODEL, found, held, division=division)
+        orders = plan_layout(MODEL, found, assigned, division=division)
         if not orders:
-            return held
-        held.update(orders)
+            return assigned
+        assigned.update(orders)
     pytest.fail("the plan does not come to rest")
 
 
 def replicas(
-    found: list[Endpoint], held: dict, division: ReplicaDivision
+    found: list[Endpoint], assigned: dict, division: ReplicaDivision
 ) -> dict[Replica, list[Member]]:
     made: dict[Replica, list[Member]] = {}
     for endpoint in found:
         most = MODEL.capacity(endpoint.accelerator)
-        member = Member(endpoint, most, held.get(endpoint.id))
+        member = Member(endpoint, most, assigned.get(endpoint.id))
         made.setdefault(division.replica(endpoint), []).append(member)
     return made
 
@@ -85,15 +85,15 @@
         """Guards against paths of more parts than engines take in large fleets."""
         found = fleet(count, places, seed)
         division = ReplicaDivision()
-        held = settled(found, division)
+        assigned = settled(found, division)
         for endpoint in found:
-            layers = held[endpoint.id]
+            layers = assigned[endpoint.id]
             assert layers is None or layers.size <= MODEL.capacity(endpoint.accelerator)
-        for members in replicas(found, held, division).values():
+        for members in replicas(found, assigned, division).values():
             if memory(members) < ALONE:
                 continue
-            assert Coverage(MODEL, members).holes() == []
-            parts = fewest_parts(MODEL, [m.held for m in members if m.held])
+            assert Coverage(MODEL, members).gaps() == []
+            parts = min_stages(MODEL, [m.assigned for m in members if m.assigned])
             assert parts is not None
             assert parts <= MAX_STAGES
 
@@ -102,25 +102,25 @@
         """Guards against plans and choices that grow with the fleet."""
         found = fleet(count, 3)
         division = ReplicaDivision()
-        held = settled(found, division)
-        sizes = [memory(m) for m in replicas(found, held, division).values()]
-        assert min(sizes) >= DIVIDE_COPIES
+        assigned = settled(found, division)
+        sizes = [memory(m) for m in replicas(found, assigned, division).values()]
+        assert min(sizes) >= SPLIT_COPIES
         # A replica is halved as long as both halves are large enough.
-        assert max(sizes) <= 4 * DIVIDE_COPIES
+        assert max(sizes) <= 4 * SPLIT_COPIES
 
     @pytest.mark.parametrize("seed", range(5))
     def test_a_lost_endpoint_changes_few_others(self, seed: int) -> None:
         """Guards against a loss that moves layers all over the fleet."""
         found = fleet(1000, 3, seed)
         division = ReplicaDivision()
-        held = settled(found, division)
+        assigned = settled(found, division)
         lost = random.Random(seed).choice(found)
         replica = division.replica(lost)
         found.remove(lost)
-        held.pop(lost.id)
-        before = dict(held)
-        held = settled_from(found, held, division)
-        changed = [e for e in found if held[e.id] != before[e.id]]
+        assigned.pop(lost.id)
+        before = dict(assigned)
+        assigned = settled_from(found, assigned, division)
+        changed = [e for e in found if assigned[e.id] != before[e.id]]
         assert len(changed) <= 4
         assert {division.replica(endpoint) for endpoint in changed} <= {replica}
 
@@ -129,47 +129,51 @@
         found = fleet(400, 3)
         division = ReplicaDivision()
         division.update(MODEL, found)
-        before = dict(division.halvings)
+        before = dict(division.splits)
         few = len(found) // 10
         for _ in range(3):
             division.update(MODEL, found[few:])
-            assert division.halvings == before
+            assert division.splits == before
             division.update(MODEL, found)
-            assert division.halvings == before
+            assert division.splits == before
 
     def test_a_data_centre_that_lost_most_endpoints_is_joined(self) -> None:
         """Guards against replicas too small for a copy of their own."""
         found = fleet(1000, 1)
         division = ReplicaDivision()
         division.update(MODEL, found)
-        assert division.halvings["p0"] > 0
+        assert division.splits["p0"] > 0
         left = found[:60]
         division.update(MODEL, left)
-        held = settled(left, division)
-        for members in replicas(left, held, division).values():
-            assert memory(members) >= JOIN_COPIES
-            assert Coverage(MODEL, members).holes() == []
+        assigned = settled(left, division)
+        for members in replicas(left, assigned, division).values():
+            assert memory(members) >= MERGE_COPIES
+            assert Coverage(MODEL, members).gaps() == []
 
     def test_memory_beside_the_layers_is_left_for_requests(self) -> None:
         """Guards against layers that fill all memory of a large fleet."""
         found = fleet(1000, 3)
-        held = settled(found, ReplicaDivision())
+        assigned = settled(found, ReplicaDivision())
         for endpoint in found:
-            layers = held[endpoint.id]
+            layers = assigned[endpoint.id]
             assert layers is not None
-            assert layers.size <= max(1, FILL * MODEL.capacity(endpoint.accelerator))
+            assert layers.size <= max(
+                1, DEFAULT_FILL * MODEL.capacity(endpoint.accelerator)
+            )
 
 
 def settled_from(
-    found: list[Endpoint], held: dict[str, LayerRange | None], division: ReplicaDivision
+    found: list[Endpoint],
+    assigned: dict[str, LayerRange | None],
+    division: ReplicaDivision,
 ) -> dict[str, LayerRange | None]:
-    held = dict(held)
+    assigned = dict(assigned)
     division.update(MODEL, found)
     for _ in range(60):
-        orders = plan_layout(MODEL, found, held, division=division)
+        orders = plan_layout(MODEL, found, assigned, division=division)
         if not orders:
-            return held
-        held.update(orders)
+            return assigned
+        assigned.update(orders)
     pytest.fail("the plan does not come to rest")
 
 
@@ -187,7 +191,7 @@
         for key in list(orders)[: len(orders) // 4]:
             first[key] = orders[key]
         for members in replicas([places[k] for k in first], first, division).values():
-            assert Coverage(MODEL, members).holes() == []
+            assert Coverage(MODEL, members).gaps() == []
 
 
 class TestTooLong:
@@ -199,8 +203,10 @@
         for number in range(80):
             key = f"s{number:02}"
             found.append(Endpoint(key, POOL, "h", 1, "p0", accelerator="s"))
-        held = plan_layout(model, found, {e.id: None for e in found})
-        assert endpoints_beyond_max_stages(model, found, held) == {e.id for e in found}
+        assigned = plan_layout(model, found, {e.id: None for e in found})
+        assert endpoints_beyond_max_stages(model, found, assigned) == {
+            e.id for e in found
+        }
         assert endpoints_beyond_max_stages(MODEL, found, {}) == frozenset()
 
 
@@ -210,9 +216,9 @@
         """Guards against choices whose time grows with the fleet."""
         known = make_directory()
         found = fleet(count, 3)
-        held = settled(found, ReplicaDivision())
+        assigned = settled(found, ReplicaDivision())
         for endpoint in found:
-            known.add(replace(endpoint, layers=held[endpoint.id]))
+            known.add(replace(endpoint, layers=assigned[endpoint.id]))
         sample = known.replica_index.sample(POOL, MODEL, "p0")
         most = max(len(group) for group in groups_of(known))
         assert len(sample) <= SAMPLE_SIZE + most
@@ -224,11 +230,11 @@
         known = make_directory()
         found = fleet(1000, 3)
         division = ReplicaDivision()
-        held = settled(found, division)
+        assigned = settled(found, division)
         whole = division.replica(found[0])
         for endpoint in found:
             if division.replica(endpoint) == whole:
-                known.add(replace(endpoint, layers=held[endpoint.id]))
+                known.add(replace(endpoint, layers=assigned[endpoint.id]))
             else:
                 known.add(replace(endpoint, layers=LayerRange(0, 1)))
         chooser = Chooser(known, "p1", DataCentreLinks(lambda: 1), lambda: 1)
--- a/tests/router/test_planner.py
+++ b/tests/router/test_planner.py
@@ -30,7 +30,7 @@
             continue
         entry = Endpoint(endpoint.name, "pool", "127.0.0.1", 1, "here")
         members.append(Member(entry, 8, LayerRange(*endpoint.state.layers)))
-    return Coverage(model(), members).holes()
+    return Coverage(model(), members).gaps()
 
 
 async def laid_out(harness: RouterHarness, count: int) -> list[ScriptedEndpoint]:
