--- a/packages/router/src/hemlockhall_router/version/balance.py
+++ b/packages/router/src/hemlockhall_router/version/balance.py
@@ -1,4 +1,7 @@
-"""Changes that make a whole copy safer, and interrupt nothing."""
+"""Rebalancing: orders that add redundancy to copies of the model.
+
+They never take layers out of service.
+"""
 
 from __future__ import annotations
 
@@ -13,18 +16,21 @@
     from hemlockhall_router.version.member import Member
     from hemlockhall_router.version.routing import Model
 
-# Orders at once that make a whole copy safer; loads share the weight store, and
-# the next repair should not have to wait for them.
+# Orders of one plan beyond which members that hold layers get no more of them. Loads
+# share the weight store, and the next repair must not wait for too many.
 MAX_REBALANCE_ORDERS = 4
-# Filling from which a spare member is moved to relieve another one: below it the
-# tight one has room for more than half of what the others have.
+# Fill fraction above which a redundant member takes over excess layers. Up to here a
+# member has memory for more than half as many requests as one at DEFAULT_FILL.
 RELIEF_FILL = 0.8
 
 
 def rebalance_group(
     model: Model, group: list[Member], *, only_empty: bool = False
 ) -> dict[str, LayerRange]:
-    """Return orders that make a whole copy safer; they interrupt nothing."""
+    """Return orders that add redundancy or free memory, by endpoint id.
+
+    With ``only_empty`` only members that hold no layers get orders.
+    """
     fill = choose_fill(model, group)
     coverage = Coverage(model, group)
     retained = Coverage.retained(model, group)
@@ -53,7 +59,8 @@
             continue
         if member.assigned is not None and len(orders) >= MAX_REBALANCE_ORDERS:
             continue
-        # Two members that hold the same layers must not both give them up.
+        # Count the order at once, so that two members that hold the same layers
+        # do not both drop them.
         if member.retained is not None:
             retained.add(member.retained, -1)
         if member.assigned is not None:
@@ -69,10 +76,10 @@
 def _relieve(
     model: Model, overfull: Member, size: int, group: list[Member]
 ) -> dict[str, LayerRange]:
-    """Let a spare member hold the layers that a tight one has too many.
+    """Return orders for redundant members to load the excess layers of a full one.
 
-    It took them over from a lost endpoint and has memory for a few requests
-    left, which bounds the whole copy. It gives them up in a later step.
+    The full member took them over from a lost endpoint and has memory left for few
+    requests, which limits the whole copy. It drops them in a later plan.
     """
     assert overfull.assigned is not None
     excess = LayerRange(overfull.assigned.first, overfull.assigned.end - size)
@@ -94,10 +101,10 @@
 def least_covered_range(
     coverage: Coverage, group: list[Member], size: int, layers: int
 ) -> LayerRange:
-    """Return the range of a size where another holder helps most.
+    """Return the range of ``size`` layers where one more holder helps most.
 
-    Ranges that begin or end where another one does come into question: then
-    one of the two can be spared.
+    Only ranges that begin or end where a present one does are considered, since
+    one of the two can then become redundant.
     """
     starts = {0, layers - size}
     for member in group:
@@ -119,7 +126,7 @@
 def _grow_range(
     coverage: Coverage, assigned: LayerRange, size: int, layers: int
 ) -> LayerRange:
-    """Return a range grown layer by layer to the side that needs it more."""
+    """Extend a range to ``size`` layers, each on the side with fewer holders."""
     first, end = assigned.first, assigned.end
     while end - first < size:
         before = coverage.redundancy_gain(first - 1, first) if first > 0 else -1.0
@@ -132,7 +139,7 @@
 
 
 def _shrink_range(coverage: Coverage, member: Member, size: int) -> LayerRange:
-    """Return a range without layers at its edges that others hold too."""
+    """Shrink a range towards ``size`` by edge layers that other members hold too."""
     assert member.assigned is not None
     first, end = member.assigned.first, member.assigned.end
     while end - first > size and coverage.counts[first] > 1:
--- a/packages/router/src/hemlockhall_router/version/coverage.py
+++ b/packages/router/src/hemlockhall_router/version/coverage.py
@@ -1,4 +1,4 @@
-"""How often a group holds each layer."""
+"""Number of members of a group that hold each layer."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
     from hemlockhall_router.version.routing import Model
 
 
-# Holders of the first layer beyond those of others: a request takes a place at its
-# first endpoint only, and these have few.
+# Holders that the first layer should have beyond those of other layers. A request takes
+# a slot at its first endpoint only, and an endpoint has few slots.
 EXTRA_FIRST_LAYER_HOLDERS = 1
 
 
 def min_stages(model: Model, ranges: list[LayerRange]) -> int | None:
-    """Return the parts of the shortest path through ranges, or None without one."""
+    """Return the stages of the shortest path through ranges, or None without one."""
     ordered = sorted(ranges, key=lambda layers: layers.first)
     reached = stages = index = 0
     while reached < model.layers:
@@ -33,7 +33,7 @@
 
 
 class Coverage:
-    """Counts of the holders of each layer."""
+    """Counts the holders of each layer, by assigned layers."""
 
     def __init__(self, model: Model, members: list[Member]) -> None:
         self.counts = [0] * model.layers
@@ -43,7 +43,7 @@
 
     @classmethod
     def retained(cls, model: Model, members: list[Member]) -> Coverage:
-        """Count only what is served now and after the orders under way."""
+        """Count only layers that are served now and after the orders under way."""
         coverage = cls(model, [])
         for member in members:
             if member.retained is not None:
@@ -51,12 +51,12 @@
         return coverage
 
     def add(self, layers: LayerRange, count: int = 1) -> None:
-        """Count one holder more, or with -1 one less."""
+        """Add ``count`` holders of a range; -1 removes one."""
         for layer in range(max(0, layers.first), min(len(self.counts), layers.end)):
             self.counts[layer] += count
 
     def gaps(self) -> list[LayerRange]:
-        """Return the ranges that nobody holds."""
+        """Return the ranges that no member holds."""
         gaps: list[LayerRange] = []
         first = None
         for layer, count in enumerate([*self.counts, 1]):
@@ -68,7 +68,7 @@
         return gaps
 
     def is_redundant(self, member: Member) -> bool:
-        """Return whether others hold all layers of a holder counted here too."""
+        """Return whether other members hold all layers of a counted member."""
         assert member.assigned is not None
         retained = member.retained
         for layer in range(member.assigned.first, member.assigned.end):
@@ -78,9 +78,11 @@
         return True
 
     def redundancy_gain(self, first: int, end: int) -> float:
-        """Return how much another holder of a range would help.
+        """Return the benefit of one more holder of a range, without a unit.
 
-        A layer with one holder is lost with it; each further holder helps less.
+        A layer with a single holder is lost with it, so a second one helps most;
+        each further holder helps a fifth as much. The first layer counts as if it had
+        ``EXTRA_FIRST_LAYER_HOLDERS`` fewer.
         """
         gain = sum(0.2**count for count in self.counts[first:end])
         if first <= 0 < end:
@@ -91,7 +93,7 @@
         return gain
 
     def can_spare_first_layer(self) -> bool:
-        """Return whether a holder of the first layer may give it up."""
+        """Return whether a holder of the first layer may drop it."""
         return self.counts[0] > 1 + EXTRA_FIRST_LAYER_HOLDERS
 
 
--- a/packages/router/src/hemlockhall_router/version/endpoint.py
+++ b/packages/router/src/hemlockhall_router/version/endpoint.py
@@ -1,4 +1,4 @@
-"""What an endpoint said of itself last."""
+"""Endpoints, the layers they hold, and the state they report."""
 
 from __future__ import annotations
 
@@ -20,10 +20,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Endpoint:
-    """One incarnation of an endpoint.
+    """One run of an endpoint's process.
 
-    ``order_count`` counts the orders that it began; ``started_ms`` is the time of its
-    start in Unix milliseconds, which tells a restart under the same id.
+    ``started_ms`` is the start of the process in Unix milliseconds, which identifies a
+    restart under the same id; ``order_count`` is the number of orders that it began,
+    ``slots`` the number of requests that it takes at once.
     """
 
     id: str
@@ -41,18 +42,23 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where it accepts connections."""
+        """Host and port that it listens on."""
         return (self.host, self.port)
 
     @property
     def incarnation(self) -> tuple[str, int]:
-        """Names this run of the endpoint."""
+        """Id and start time, which identify this run of the endpoint."""
         return (self.id, self.started_ms)
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointReport:
-    """What an endpoint answers when asked for its state."""
+    """State that an endpoint reports when it is probed.
+
+    ``busy`` tells that it is carrying out an order. ``slowdown`` is a factor on the
+    usual time of a token, 1.0 when normal. ``stalled`` lists the attempts that wait for
+    a dead endpoint.
+    """
 
     busy: bool
     order_count: int
--- a/packages/router/src/hemlockhall_router/version/layout.py
+++ b/packages/router/src/hemlockhall_router/version/layout.py
@@ -1,11 +1,10 @@
-"""Which endpoint should hold which layers.
-
-Each data centre that has the memory holds a whole copy, because activations
-of a prompt fill the links between data centres; a large one is divided into
-replicas that each hold copies of their own. What memory is left holds layers
-again: the loss of an endpoint whose layers are held twice interrupts nothing, and
-one that is not needed for the copy can take over the layers of another without
-taking any out of service.
+"""Layout planning: which endpoint should hold which layers.
+
+Each data centre with enough memory holds a complete copy of the model, because the
+activations of prompts saturate the links between data centres. A large data centre is
+divided into replicas with copies of their own. The remaining memory holds layers a
+second time: the loss of an endpoint whose layers are held twice interrupts nothing, and
+a redundant endpoint can take over layers of another one without an interruption.
 """
 
 from __future__ import annotations
@@ -36,13 +35,14 @@
     from hemlockhall_router.version.replica import Replica, ReplicaDivision
     from hemlockhall_router.version.routing import Model
 
-# What the improvements of a group follow from.
+# All that the rebalancing of a group depends on: whether only empty members get orders,
+# and the id, assigned layers, served layers and lock of each member.
 GroupState = tuple[
     bool, tuple[tuple[str, LayerRange | None, LayerRange | None, bool], ...]
 ]
 
-# Memory of a group against that of one copy below which the group does not
-# stand alone: what is left over holds requests.
+# Copies that the memory of a data centre must hold for it to form groups of its own.
+# What exceeds one copy is left for requests.
 MIN_GROUP_COPIES = 1.2
 
 
@@ -55,28 +55,28 @@
     division: ReplicaDivision | None = None,
     converged: set[GroupState] | None = None,
 ) -> dict[str, LayerRange]:
-    """Return the layers that endpoints should be ordered to hold.
+    """Return the layers that endpoints should be ordered to hold, by endpoint id.
 
-    Orders stand in the order in which they should be given: the fastest endpoints
-    of each replica first, which complete its first copy.
+    Orders are sorted as they should be sent: those to the fastest endpoints of each
+    replica, which complete its first copy, come first.
 
     Parameters
     ----------
     model : Model
-        The model that all of them run.
+        The model that the endpoints run.
     endpoints : iterable of Endpoint
-        Those that live and are not leaving.
-    held : dict
-        By endpoint id, what it holds or was just ordered to hold.
+        Live endpoints that are not draining.
+    assigned : dict
+        Layers by endpoint id, with orders under way counted as done.
     serving : dict, optional
-        By endpoint id, what it holds without the orders under way.
-    fixed : frozenset of str
-        Ids of the endpoints that take no other order now.
+        Layers by endpoint id, without orders under way; as ``assigned`` if not given.
+    locked : frozenset of str
+        Ids of the endpoints that take no further order now.
     division : ReplicaDivision, optional
-        How data centres are divided into replicas; not at all if not given.
-    settled : set of GroupState, optional
-        States of groups that an earlier plan found nothing to improve in; brought up
-        to date, so that a plan looks only at groups that changed.
+        Division of data centres into replicas; each is one replica if not given.
+    converged : set of GroupState, optional
+        Group states that an earlier plan had no rebalancing orders for. They are
+        skipped, and the set is updated, so that only changed groups are rebalanced.
     """
     serving = assigned if serving is None else serving
     members = _members(model, endpoints, assigned, serving, locked)
@@ -88,8 +88,8 @@
     orders = _interleave(repairs)
     if orders:
         return orders
-    # Loads share the weight store: while a copy is being mended only endpoints
-    # that serve nothing are given layers.
+    # Loads share the weight store, so while a copy is being repaired only members
+    # that hold no layers get rebalancing orders.
     complete = not any(Coverage.retained(model, group).gaps() for group in groups)
     skipped = converged if converged is not None else set()
     newly_converged: set[GroupState] = set()
@@ -117,14 +117,14 @@
 
 
 def _interleave(orders_by_group: list[dict[str, LayerRange]]) -> dict[str, LayerRange]:
-    """Return the orders of all groups, with those that come first in each first."""
+    """Merge the orders of all groups: the first ones of each, then the second ones."""
     ranked: list[tuple[int, int, str]] = []
     merged: dict[str, LayerRange] = {}
     for index, orders in enumerate(orders_by_group):
         merged.update(orders)
-        for position, key in enumerate(orders):
-            ranked.append((position, index, key))
-    return {key: merged[key] for _, _, key in sorted(ranked)}
+        for position, endpoint_id in enumerate(orders):
+            ranked.append((position, index, endpoint_id))
+    return {endpoint_id: merged[endpoint_id] for _, _, endpoint_id in sorted(ranked)}
 
 
 def is_complete(
@@ -147,7 +147,10 @@
     assigned: dict[str, LayerRange | None],
     division: ReplicaDivision | None = None,
 ) -> frozenset[str]:
-    """Return the ids of the endpoints in groups whose paths engines would refuse."""
+    """Return the ids of endpoints in groups whose paths have too many stages.
+
+    Engines refuse paths of more than ``MAX_STAGES``.
+    """
     ids: set[str] = set()
     members = _members(model, endpoints, assigned, assigned, frozenset())
     for group in split_groups(model, members, division):
@@ -168,28 +171,28 @@
     members = []
     for endpoint in endpoints:
         capacity = model.capacity(endpoint.accelerator)
-        key = endpoint.id
+        endpoint_id = endpoint.id
         if capacity > 0:
-            layers, layers_now = assigned.get(key), serving.get(key)
+            layers, layers_now = assigned.get(endpoint_id), serving.get(endpoint_id)
             members.append(
-                Member(endpoint, capacity, layers, layers_now, key in locked)
+                Member(endpoint, capacity, layers, layers_now, endpoint_id in locked)
             )
     return members
 
 
 def _group_to_rebuild(model: Model, groups: list[list[Member]]) -> int | None:
-    """Return which group may give up layers that nobody else holds, if any.
+    """Return the index of the group that may drop layers nobody else holds, if any.
 
-    Whether neighbours shift towards a hole or all layers are shared out anew,
-    the group is out of service for seconds. Only one does it at a time, since
-    all copies away together would have every request refused.
+    Shifting neighbours into a gap or redistributing all layers takes a group out of
+    service for seconds. Only one group does so at a time: with all copies out of
+    service every request would be refused.
     """
     chosen = None
     for index, group in enumerate(groups):
         if Coverage(model, group).gaps():
             chosen = index if chosen is None else chosen
         elif Coverage.retained(model, group).gaps():
-            # It loads what it was ordered to hold; the next one waits for it.
+            # This group is still loading its layers; the next one waits for it.
             return None
     return chosen
 
@@ -199,25 +202,26 @@
 ) -> list[list[Member]]:
     """Split members into groups that each hold a copy.
 
-    A data centre stands alone if its memory suffices, as one group for each of its
-    replicas; the others together form one group.
+    Each replica of a data centre with enough memory is a group. The members of the
+    other data centres form one group together, if they have enough memory or there is
+    no other group.
     """
     by_data_centre: dict[str, list[Member]] = {}
     for member in sorted(members, key=lambda member: member.endpoint.id):
         by_data_centre.setdefault(member.endpoint.data_centre, []).append(member)
-    standalone: list[list[Member]] = []
+    groups: list[list[Member]] = []
     remaining: list[Member] = []
     for data_centre in sorted(by_data_centre):
         group = by_data_centre[data_centre]
         if total_capacity(group) >= model.layers * MIN_GROUP_COPIES:
-            standalone += _split_replicas(group, division)
+            groups += _split_replicas(group, division)
         else:
             remaining += group
     if total_capacity(remaining) >= model.layers * MIN_GROUP_COPIES or (
-        remaining and not standalone
+        remaining and not groups
     ):
-        standalone.append(remaining)
-    return standalone
+        groups.append(remaining)
+    return groups
 
 
 def _split_replicas(
@@ -234,9 +238,10 @@
 def repair_group(
     model: Model, group: list[Member], *, rebuild: bool = True
 ) -> dict[str, LayerRange]:
-    """Return the orders that complete one group's copy.
+    """Return the orders that close the coverage gaps of a group.
 
-    The members are brought up to date with the orders.
+    The members are updated to the orders. Without ``rebuild`` no member is ordered to
+    drop layers that nobody else holds.
     """
     if all(member.assigned is None for member in group):
         orders = initial_layout(model, group)
@@ -251,28 +256,29 @@
         _apply(group, orders)
         return orders
     for gap in gaps:
-        # A neighbour that takes over more than usual has memory for few
-        # requests left, and bounds the whole copy until it is relieved.
-        found = fill_by_growth(gap, group, DEFAULT_FILL)
-        found = found or fill_by_spares(model, gap, group)
-        found = found or fill_by_growth(gap, group, MAX_FILL)
-        if not found and rebuild:
+        # Neighbours are filled beyond DEFAULT_FILL only if no spares are left: such
+        # a neighbour has memory for few requests, which limits the whole copy until
+        # it is relieved.
+        gap_orders = fill_by_growth(gap, group, DEFAULT_FILL)
+        gap_orders = gap_orders or fill_by_spares(model, gap, group)
+        gap_orders = gap_orders or fill_by_growth(gap, group, MAX_FILL)
+        if not gap_orders and rebuild:
             holding = [member for member in group if member.assigned is not None]
-            found = fill_by_shifting(model, gap, holding)
-        if not found and rebuild:
+            gap_orders = fill_by_shifting(model, gap, holding)
+        if not gap_orders and rebuild:
             orders = _changed(redistribute(model, group), group)
             _apply(group, orders)
             return orders
-        orders.update(found)
-        _apply(group, found)
+        orders.update(gap_orders)
+        _apply(group, gap_orders)
     return orders
 
 
 def initial_layout(model: Model, group: list[Member]) -> dict[str, LayerRange]:
-    """Return the first layout: a copy on the fastest members that hold one.
+    """Return the layout of an empty group: a copy on its fastest members.
 
-    The others hold what is left of a second copy. Long ranges on fast
-    accelerators make paths short, so a token takes less time.
+    The other members hold further copies of the least covered layers. Long ranges on
+    fast accelerators make paths short, so a token takes less time.
     """
     fill = choose_fill(model, group)
     if sum(target_size(model, member, fill) for member in group) < model.layers:
@@ -296,9 +302,10 @@
 
 
 def redistribute(model: Model, group: list[Member]) -> dict[str, LayerRange]:
-    """Share all layers out in proportion to capacity.
+    """Distribute all layers in proportion to capacity.
 
-    The present order of the members is kept, so that few layers move.
+    Members stay in their present order, so that few layers move. Without the memory
+    for a copy there are no orders.
     """
 
     def position(member: Member) -> tuple[int, str]:
@@ -326,7 +333,11 @@
     wanted: dict[str, LayerRange], group: list[Member]
 ) -> dict[str, LayerRange]:
     assigned = {member.endpoint.id: member.assigned for member in group}
-    return {key: layers for key, layers in wanted.items() if assigned[key] != layers}
+    return {
+        endpoint_id: layers
+        for endpoint_id, layers in wanted.items()
+        if assigned[endpoint_id] != layers
+    }
 
 
 def _apply(group: list[Member], orders: dict[str, LayerRange]) -> None:
--- a/packages/router/src/hemlockhall_router/version/member.py
+++ b/packages/router/src/hemlockhall_router/version/member.py
@@ -1,4 +1,4 @@
-"""An endpoint as a member of a group that holds copies of the model."""
+"""Endpoints as members of a group that holds copies of the model."""
 
 from __future__ import annotations
 
@@ -10,20 +10,21 @@
 if TYPE_CHECKING:
     from hemlockhall_router.version.endpoint import Endpoint
 
-# Part of an endpoint's memory that layers fill in calm times. More holds more
-# layers a second time, so that a loss interrupts less; less holds more requests.
+# Fraction of an endpoint's memory that layers normally fill. A higher one holds more
+# layers twice, so that a loss interrupts less; a lower one leaves more for requests.
 DEFAULT_FILL = 0.7
-# The same while layers of a lost endpoint are taken over: room for a few requests
-# until others have taken their part.
+# Fraction that layers may fill after taking over those of a lost endpoint. It leaves
+# memory for a few requests until other members have taken a share.
 MAX_FILL = 0.92
 
 
 @dataclass(slots=True)
 class Member:
-    """An endpoint of a group: what it may hold, and what it holds.
+    """An endpoint of a group, the layers it can hold and those it holds.
 
-    ``held`` counts orders under way as carried out, ``serving`` does not.
-    ``fixed`` tells that it takes no other order now.
+    ``capacity`` is the number of layers that fill its memory. ``assigned`` counts
+    orders under way as done, ``serving`` does not. A ``locked`` member takes no
+    further order now.
     """
 
     endpoint: Endpoint
@@ -34,7 +35,7 @@
 
     @property
     def retained(self) -> LayerRange | None:
-        """The layers that it serves now and after the orders under way."""
+        """Layers that it serves now and after the orders under way."""
         if self.assigned is None or self.serving is None:
             return None
         first = max(self.assigned.first, self.serving.first)
@@ -42,21 +43,21 @@
 
     @property
     def fill_fraction(self) -> float:
-        """Part of the memory that layers fill."""
+        """Fraction of the memory that assigned layers fill."""
         return self.assigned.size / self.capacity if self.assigned else 0.0
 
     @property
     def max_layers(self) -> int:
-        """Layers that it holds at most."""
+        """Layers that it may hold, which leave memory for a few requests."""
         return max(1, int(self.capacity * MAX_FILL))
 
     @property
     def spare_layers(self) -> int:
-        """Layers of others that it can take over beside its own."""
+        """Layers that it can take over in addition to its own."""
         return self.spare_layers_at(MAX_FILL)
 
     def spare_layers_at(self, fill: float) -> int:
-        """Return how many it can take over until a part of its memory is full."""
+        """Return the layers that it can take over up to fill fraction ``fill``."""
         if self.assigned is None or self.locked:
             return 0
         return max(0, int(self.capacity * fill) - self.assigned.size)
--- a/packages/router/src/hemlockhall_router/version/path.py
+++ b/packages/router/src/hemlockhall_router/version/path.py
@@ -1,4 +1,4 @@
-"""Paths: endpoints that together run every layer once, in order."""
+"""Paths: chains of endpoints that run every layer once, in order."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
     from hemlockhall_router.version.endpoint import Endpoint
     from hemlockhall_router.version.routing import Model
 
-# Parts a path may have; engines refuse longer ones.
+# Engines refuse paths of more stages.
 MAX_STAGES = 32
-# Milliseconds a hop adds to each token inside a data centre: the delay of the
-# network (0.2) and on average half a pass of waiting at the next engine.
+# Time that a hop inside a data centre adds to each token: network delay (0.2 ms) and on
+# average half a forward pass of waiting at the next engine.
 HOP_MS = 0.8
-# Milliseconds more for a start in another data centre: only what the caller sends
-# and gets goes there, and no activations.
+# Time added to each token by a first endpoint in another data centre. Only the request
+# and the response cross the link then, no activations.
 CROSS_DATA_CENTRE_START_MS = 2.0
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointCost:
-    """What using an endpoint costs beside its usual time.
+    """Cost of an endpoint in addition to its usual time for a token.
 
-    ``factor`` is on its time for a token, at least 1; ``layer_ms`` is added for
-    each layer that it runs, ``stage_ms`` once, ``start_ms`` where it is the first.
+    ``factor`` multiplies its usual time. ``layer_ms`` is added for each layer that it
+    runs, ``stage_ms`` once, ``start_ms`` if it is the first of a path.
     """
 
     factor: float = 1.0
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Path:
-    """Parts in the order of their layers; ``cost_ms`` estimates a token."""
+    """Stages in the order of their layers; ``cost_ms`` is the estimate for a token."""
 
     stages: tuple[Stage, ...]
     cost_ms: float
@@ -65,6 +65,8 @@
 
 @dataclass(slots=True)
 class _PartialPath:
+    """Cheapest known path up to a layer; its last stage begins at layer ``start``."""
+
     cost: float
     endpoint: Endpoint
     start: int
@@ -79,26 +81,28 @@
     cross_data_centre_ms: Callable[[str, str], float],
     first_endpoint_ids: frozenset[str] | None = None,
 ) -> Path | None:
-    """Return the cheapest path that starts in data centre ``home``.
+    """Return the cheapest path for a request of data centre ``home``.
+
+    None if no path runs all layers, or the cheapest has more than ``MAX_STAGES``.
 
     Parameters
     ----------
     model : Model
-        Gives the number of layers and the times.
+        The model; its number of layers and its times are used.
     endpoints : iterable of Endpoint
-        Usable endpoints; those that hold no layers are left out.
+        Usable endpoints; those without layers are ignored.
     home : str
-        Where the path starts; a start elsewhere costs a little more.
+        Data centre where the path should start; another one costs a little more.
     cost_of : callable
-        Returns an endpoint's ``EndpointCost``; more for loaded ones.
-    far_ms : callable
-        Returns the milliseconds that a hop from one data centre to another
-        costs more than one inside it, for each token.
+        Returns the ``EndpointCost`` of an endpoint.
+    cross_data_centre_ms : callable
+        Returns the milliseconds that a hop from one data centre to another adds to
+        each token, compared to a hop inside a data centre.
     first_endpoint_ids : frozenset of str, optional
-        Ids of the endpoints that may be the first; all if not given.
+        Ids of endpoints that may be the first of the path; all if not given.
     """
     cut_points = _find_cuts(model, endpoints, cost_of, first_endpoint_ids)
-    # The cheapest step that ends at a cut, for each data centre it ends in.
+    # The cheapest partial path to each cut, by the data centre of its last endpoint.
     best: dict[int, dict[str, _PartialPath]] = {cut: {} for cut in cut_points.cuts}
     for cut in cut_points.cuts[:-1]:
         if cut > 0 and not best[cut]:
@@ -131,7 +135,7 @@
 
 @dataclass(slots=True)
 class _Candidate:
-    """An endpoint that may be part of a path; it may be left at ``exits``."""
+    """An endpoint that a path may use; ``exits`` are the cuts where it may end."""
 
     endpoint: Endpoint
     cost: EndpointCost
@@ -141,7 +145,7 @@
 
 @dataclass(slots=True)
 class _CutPoints:
-    """The cuts between layers in order, and what may be entered at each."""
+    """Sorted cuts between layers, and the endpoints that a path may enter at each."""
 
     cuts: list[int]
     candidates_at: dict[int, list[_Candidate]]
@@ -153,10 +157,10 @@
     cost_of: Callable[[Endpoint], EndpointCost],
     first_endpoint_ids: frozenset[str] | None,
 ) -> _CutPoints:
-    """Return where a path may change endpoints.
+    """Return the cuts at which a path may change endpoints.
 
-    The cost is linear in the layer at which one endpoint hands over to the next, so
-    the cheapest place is where the next one's range begins or the present one's ends.
+    The cost is linear in the layer at which a path changes from one endpoint to the
+    next, so it is least where the range of the next begins or that of the first ends.
     """
     firsts, ends = {0}, {0, model.layers}
     candidates = []
@@ -203,7 +207,10 @@
     home: str,
     cross_data_centre_ms: Callable[[str, str], float],
 ) -> tuple[_PartialPath | None, float]:
-    """Return the step from which a data centre is reached at the least cost."""
+    """Return the partial path from which a data centre is reached at the least cost.
+
+    The second value is that cost in milliseconds, with the hop.
+    """
     if not partials:
         return None, HOP_MS + (
             CROSS_DATA_CENTRE_START_MS if data_centre != home else 0.0
@@ -236,10 +243,10 @@
 
 
 def _merge_repeated(stages: list[Stage]) -> list[Stage]:
-    """Give an endpoint that stands twice all layers in between.
+    """Merge two stages of the same endpoint and all stages between them.
 
-    An engine refuses a path on which it stands twice. It holds one range
-    without gaps, so it can run what lies between its two parts itself.
+    Engines refuse a path that contains them twice. An endpoint holds one contiguous
+    range, so it can run the layers between its two stages itself.
     """
     merged: list[Stage] = []
     for stage in stages:
--- a/packages/router/src/hemlockhall_router/version/repair.py
+++ b/packages/router/src/hemlockhall_router/version/repair.py
@@ -1,4 +1,4 @@
-"""Filling of a hole in a copy."""
+"""Repair: ways to close a coverage gap in a copy of the model."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 def fill_by_growth(
     gap: LayerRange, group: list[Member], fill: float
 ) -> dict[str, LayerRange]:
-    """Let the holders next to a hole take it beside what they hold.
+    """Extend the members on both sides of a gap into it, or return no orders.
 
-    Nothing goes out of service, and both load at the same time. Each fills at
-    most the part ``fill`` of its memory.
+    No layers go out of service, and both members load at the same time. Each fills at
+    most the fraction ``fill`` of its memory.
     """
     holding = [member for member in group if member.assigned is not None]
     before = _neighbour_before(holding, gap.first, [])
@@ -40,11 +40,11 @@
 def fill_by_spares(
     model: Model, gap: LayerRange, group: list[Member]
 ) -> dict[str, LayerRange]:
-    """Let members take a hole that hold nothing, or nothing but what others do.
+    """Move empty or redundant members into a gap, or return no orders.
 
-    They load just the hole, which is quickest, and are grown afterwards. A
-    member that gives up layers does so when the last stream there has ended,
-    so small ones are preferred: they carry less, and several load at once.
+    They load only the gap, which is quickest, and grow later. A member drops layers
+    once the last stream on it has ended, so small members are preferred: they carry
+    fewer streams, and several of them load at the same time.
     """
     chosen = select_spares(model, gap, group)
     total = sum(member.max_layers for member in chosen)
@@ -65,8 +65,11 @@
 
 
 def select_spares(model: Model, gap: LayerRange, group: list[Member]) -> list[Member]:
-    """Return the members that take a hole: empty ones, then the smallest."""
-    # Layers that somebody still loads do not make their present holder spare.
+    """Return empty and redundant members to fill a gap: empty, then smallest first.
+
+    Their memory may be less than the gap needs.
+    """
+    # Layers that another member is still loading do not make their holder redundant.
     coverage = Coverage.retained(model, group)
     chosen: list[Member] = []
     total = 0
@@ -94,11 +97,11 @@
 def fill_by_shifting(
     model: Model, gap: LayerRange, holding: list[Member]
 ) -> dict[str, LayerRange]:
-    """Let the nearest holders on both sides take a hole, each a little.
+    """Shift the nearest members on both sides of a gap into it, or return no orders.
 
-    Holders next to the hole move towards it, and those behind them follow, so
-    that few layers are loaded and the rest of the copy stays where it is.
-    Sharing all layers out anew would take the whole copy out of service.
+    Members next to the gap move into it and those behind them follow, so that few
+    layers are loaded and the rest of the copy stays in service. Redistributing all
+    layers would take the whole copy out of service.
     """
     left: list[Member] = []
     right: list[Member] = []
@@ -125,7 +128,7 @@
 def _neighbour_before(
     holding: list[Member], layer: int, excluded: list[Member]
 ) -> Member | None:
-    """Return the roomiest holder of the layers right before ``layer``."""
+    """Return the member with the most spare memory that holds up to ``layer``."""
     candidates = []
     for member in holding:
         assigned = member.assigned
@@ -141,7 +144,7 @@
 def _neighbour_after(
     holding: list[Member], layer: int, excluded: list[Member]
 ) -> Member | None:
-    """Return the roomiest holder of the layers from ``layer`` on."""
+    """Return the member with the most spare memory that holds ``layer``."""
     candidates = []
     for member in holding:
         assigned = member.assigned
@@ -157,7 +160,7 @@
 def _distribute(
     window: LayerRange, gap: LayerRange, left: list[Member], right: list[Member]
 ) -> dict[str, LayerRange]:
-    """Share a window out in order; each takes its part of the hole by its room."""
+    """Distribute a window of layers, the gap in proportion to spare layers."""
     members = left + right
     total = sum(member.spare_layers for member in members)
     orders: dict[str, LayerRange] = {}
@@ -188,7 +191,7 @@
     right: list[Member],
     gap: LayerRange,
 ) -> int:
-    """Return how many layers of the window a holder has from ``start`` on."""
+    """Return how many layers of the window a member holds from ``start`` on."""
     assert member.assigned is not None
     side = left if member in left else right
     index = side.index(member)
--- a/packages/router/src/hemlockhall_router/version/replica.py
+++ b/packages/router/src/hemlockhall_router/version/replica.py
@@ -1,8 +1,8 @@
 """Division of a data centre's endpoints into replicas.
 
-A replica is a set of endpoints of bounded size that holds whole copies of the
-model. Its layers are planned, repaired and searched apart from those of the other
-replicas, so neither a plan nor a choice grows with the number of endpoints.
+A replica is a set of endpoints of bounded size that holds complete copies of the
+model. Its layers are planned and repaired apart from those of other replicas, and a
+path search looks at a few replicas, so neither grows with the number of endpoints.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
     from hemlockhall_router.version.endpoint import Endpoint
     from hemlockhall_router.version.routing import Model
 
-# Copies that the memory of each replica must hold for a data centre to be divided
-# once more, and below which it is divided once less: losses that come and go must
-# not divide it anew each time.
+# Copies that the memory of the smallest replica must hold for a data centre to be split
+# once more, and below which it is split once less. The two differ so that endpoints
+# which come and go do not split and merge it repeatedly.
 SPLIT_COPIES = 3.0
 MERGE_COPIES = 2.0
-# Times that a data centre is halved at most.
+# Splits of a data centre; n of them make 2**n replicas.
 MAX_SPLITS = 12
-# Endpoints whose hash is kept.
+# Endpoint ids whose hash is cached.
 HASH_CACHE_SIZE = 8192
 
 
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True, frozen=True, order=True)
 class Replica:
-    """One part of a data centre; those of all data centres are numbered from 0."""
+    """A replica of a data centre; numbers start at 0 in each data centre."""
 
     number: int
     data_centre: str
@@ -45,16 +45,16 @@
 
 @dataclass(slots=True)
 class ReplicaDivision:
-    """How often each data centre is halved.
+    """Number of times that each data centre is split in two.
 
-    An endpoint's replica follows from a hash of its id. Dividing once more splits
-    each replica in two, so no endpoint changes places with another one.
+    A hash of its id decides an endpoint's replica. One more split divides each replica
+    in two, and moves no endpoint between the replicas there were.
     """
 
     splits: dict[str, int] = field(default_factory=dict)
 
     def update(self, model: Model, endpoints: Iterable[Endpoint]) -> None:
-        """Adapt to the endpoints that live."""
+        """Split or merge data centres to fit the live endpoints."""
         by_data_centre: dict[str, list[Endpoint]] = {}
         for endpoint in endpoints:
             by_data_centre.setdefault(endpoint.data_centre, []).append(endpoint)
@@ -69,14 +69,14 @@
             self.splits[data_centre] = splits
 
     def replica(self, endpoint: Endpoint) -> Replica:
-        """Return the replica that an endpoint belongs to."""
+        """Return the replica of an endpoint."""
         data_centre = endpoint.data_centre
         mask = (1 << self.splits.get(data_centre, 0)) - 1
         return Replica(_hash(endpoint.id) & mask, data_centre)
 
 
 def _min_copies(model: Model, endpoints: list[Endpoint], splits: int) -> float:
-    """Return the copies that the memory of the smallest replica holds."""
+    """Return the copies that fill the memory of the smallest replica."""
     memory = [0] * (1 << splits)
     mask = len(memory) - 1
     for endpoint in endpoints:
--- a/packages/router/src/hemlockhall_router/version/routing.py
+++ b/packages/router/src/hemlockhall_router/version/routing.py
@@ -1,4 +1,4 @@
-"""A version of the configuration, as the router uses it."""
+"""Routing configuration: routes, services, models and customers."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class RouteKind(Enum):
-    """What may be repeated, which follows from the route alone."""
+    """Kind of a route's requests, which decides whether they may be retried."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "once"
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Target:
-    """A service that gets a share of a route's requests."""
+    """A service and its weighted share of a route's requests."""
 
     service: str
     weight: float
@@ -30,7 +30,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Route:
-    """Where requests of a host and path prefix go; times in seconds."""
+    """Targets and limits for requests with a host and a path prefix.
+
+    ``timeout_s`` limits the whole request. ``latency_objective_s`` is the objective
+    for the first event, ``max_event_gap_s`` the longest gap between two events of a
+    stream; 0 states none. ``resumable`` streams can go on at another path.
+    """
 
     name: str
     host: bytes
@@ -47,7 +52,7 @@
 
     @property
     def retryable(self) -> bool:
-        """Whether a request may run more than once."""
+        """Whether a request may be executed more than once."""
         if self.kind is RouteKind.IDEMPOTENT:
             return True
         return self.kind is RouteKind.STREAM and self.resumable
@@ -55,7 +60,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Accelerator:
-    """A kind of accelerator: memory in MB, time factors against the base."""
+    """A kind of accelerator.
+
+    ``step_factor`` and ``prefill_factor`` multiply the model's times for a decode step
+    and for prefill.
+    """
 
     memory_mb: float
     step_factor: float
@@ -64,11 +73,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Model:
-    """What the engines of a service run, split by layers.
+    """A model that is split by layers, and its costs on the base accelerator.
 
-    ``kv_bytes_per_token`` is the memory of one token in all layers,
-    ``load_all_layers_s`` the time to load all layers, ``activation_bytes_per_token``
-    what one token sends over a hop.
+    ``kv_bytes_per_token``, ``load_all_layers_s``, ``step_ms`` and
+    ``prefill_tokens_per_s`` are for all layers together. Each hop of a token sends
+    ``activation_bytes_per_token``. The weight store serves ``concurrent_loads`` loads
+    at full speed.
     """
 
     layers: int
@@ -86,7 +96,7 @@
     concurrent_loads: int = 1
 
     def capacity(self, accelerator_name: str) -> int:
-        """Return how many layers an accelerator holds at most."""
+        """Return the number of layers that fill an accelerator, 0 if it is unknown."""
         accelerator = self.accelerators.get(accelerator_name)
         if accelerator is None or self.layer_mb <= 0:
             return 0
@@ -95,7 +105,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Service:
-    """A set of interchangeable endpoints."""
+    """Endpoints that serve the same requests; ``slots`` are per endpoint."""
 
     name: str
     health_path: str
@@ -106,7 +116,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Customer:
-    """Who holds a key."""
+    """A customer, who is identified by an API key."""
 
     name: str
     priority: int | None = None
@@ -114,7 +124,10 @@
 
 @dataclass(slots=True)
 class RoutingConfig:
-    """A whole version of the configuration."""
+    """One version of the configuration.
+
+    ``routes`` is keyed by host, then by path prefix; ``customers`` by API key.
+    """
 
     version: int
     routes: dict[bytes, dict[bytes, Route]] = field(default_factory=dict)
@@ -124,11 +137,14 @@
     keys_required: bool = False
 
     def add(self, route: Route) -> None:
-        """Add a route under its host and prefix."""
+        """Add a route, replacing one with the same host and prefix."""
         self.routes.setdefault(route.host, {})[route.prefix] = route
 
     def match(self, head: RequestHead) -> Route | None:
-        """Return the route of the request's host with the longest prefix."""
+        """Return the route with the longest matching prefix for the request's host.
+
+        A host with a port matches a route without one. Prefixes end in a slash.
+        """
         name = (head.header(b"host") or b"").strip().lower()
         routes = self.routes.get(name) or self.routes.get(name.partition(b":")[0])
         if not routes:
--- a/packages/router/src/hemlockhall_router/version/target.py
+++ b/packages/router/src/hemlockhall_router/version/target.py
@@ -1,4 +1,4 @@
-"""How many layers each member of a group should hold."""
+"""Target number of layers for each member of a group."""
 
 from __future__ import annotations
 
@@ -10,22 +10,23 @@
     from hemlockhall_router.version.member import Member
     from hemlockhall_router.version.routing import Model
 
-# Layers that a group should hold at least, in copies: the ranges must overlap
-# for layers to pass from one member to another without an interruption.
+# Copies that a group should hold: ranges must overlap for layers to move from one
+# member to another without an interruption.
 MIN_COVERAGE = 1.05
 FILL_STEP = 0.01
 
 
 def total_capacity(members: list[Member]) -> int:
-    """Return how many layers the members' memory holds together."""
+    """Return the number of layers that fill the memory of all members."""
     return sum(member.capacity for member in members)
 
 
 def choose_fill(model: Model, group: list[Member]) -> float:
-    """Return the part of its memory that each member's layers should fill.
+    """Return the fraction of its memory that each member's layers should fill.
 
-    More than usual where that does not hold a copy and ``SLACK``: then those
-    beside a member that took over too much grow, and it gives that up again.
+    It is above ``DEFAULT_FILL`` only where that holds fewer than ``MIN_COVERAGE``
+    copies. The neighbours of a member that took over too many layers then grow, which
+    lets it drop the excess.
     """
     fill = DEFAULT_FILL
     while fill < MAX_FILL:
@@ -39,11 +40,13 @@
 
 
 def target_size(model: Model, member: Member, fill: float) -> int:
-    """Return how many layers fill a part of a member's memory."""
+    """Return the number of layers that fill a fraction of a member's memory."""
     return min(model.layers, max(1, int(member.capacity * fill)))
 
 
 def fastest_first(model: Model, group: list[Member]) -> list[Member]:
+    """Return members by prefill speed, then by memory, largest first."""
+
     def rank(member: Member) -> tuple[float, int, str]:
         accelerator = model.accelerators.get(member.endpoint.accelerator)
         prefill_factor = accelerator.prefill_factor if accelerator else 1.0
