--- a/tests/router/test_load_loss.py
+++ b/tests/router/test_load_loss.py
@@ -1,4 +1,4 @@
-"""Load pattern: the loss of an endpoint, whose streams all go on elsewhere."""
+"""Load pattern: the loss of an endpoint, whose streams all move at once."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 if TYPE_CHECKING:
     from hemlockhall_router.process.directory import Directory
 
-KINDS = {
+ACCELERATORS = {
     "fast": Accelerator(400_000.0, 2.4, 3.2),
     "slow": Accelerator(400_000.0, 3.6, 3.2),
 }
-SERVICE = service(large_model(KINDS))
+SERVICE = service(large_model(ACCELERATORS))
 HOSTS = 4
 STREAMS = 60
 TOKENS = 1000
@@ -34,44 +34,46 @@
 
 def three_endpoints() -> Directory:
     """Return three endpoints with all layers, one of them faster."""
-    known = make_directory()
+    directory = make_directory()
     for name, kind in (("p1", "fast"), ("p2", "slow"), ("p3", "slow")):
-        add_endpoint(known, name, "x", kind, LayerRange(0, 80))
-    return known
+        add_endpoint(directory, name, "x", kind, LayerRange(0, 80))
+    return directory
 
 
-def unread(seed: int, hosts_known: int) -> Counter[str]:
-    """Let all hosts place the streams at once, and return the tokens to read."""
+def prefill_tokens(seed: int, host_count: int) -> Counter[str]:
+    """Let all hosts choose paths at once; return prefill tokens by first endpoint."""
     random.seed(seed)
-    placed: Counter[str] = Counter()
+    tokens_by_endpoint: Counter[str] = Counter()
     for _ in range(HOSTS):
-        known = three_endpoints()
-        pipes = DataCentreLinks(lambda: hosts_known)
-        chooser = Chooser(known, "x", pipes, lambda: hosts_known)
+        directory = three_endpoints()
+        links = DataCentreLinks(lambda: host_count)
+        chooser = Chooser(directory, "x", links, lambda: host_count)
         for _ in range(STREAMS // HOSTS):
             path = chooser.choose_path(SERVICE, set(), tokens=TOKENS)
             assert path is not None
-            record = known.records[path.first_endpoint.id]
+            record = directory.records[path.first_endpoint.id]
             record.prefill_tokens += TOKENS
             record.tokens += TOKENS
-            placed[path.first_endpoint.id] += TOKENS
-    return placed
+            tokens_by_endpoint[path.first_endpoint.id] += TOKENS
+    return tokens_by_endpoint
 
 
 class TestLostEndpoint:
-    """Sixty streams of a lost endpoint go on elsewhere within milliseconds, and
-    their prompts are read again. Each host took the fastest path for its own,
-    not knowing of the others' yet; that endpoint read for a second, and all of
-    them were late, while two others had nothing to read."""
+    """Guards against hosts that all move the streams of a lost endpoint to one other.
+
+    Sixty streams move within milliseconds and need a new prefill. Hosts that did not
+    know of each other's choices all took the fastest endpoint, whose prefill took a
+    second, so that all streams were late while two other endpoints were idle.
+    """
 
     @pytest.mark.parametrize("seed", range(5))
-    def test_no_endpoint_reads_much_longer_than_the_others(self, seed: int) -> None:
-        placed = unread(seed, HOSTS)
-        even = STREAMS * TOKENS / 3
-        assert len(placed) == 3
-        # The aim: all are read in the time that an even share takes, by half.
-        assert max(placed.values()) <= 1.5 * even
+    def test_no_endpoint_prefills_much_longer_than_the_others(self, seed: int) -> None:
+        tokens_by_endpoint = prefill_tokens(seed, HOSTS)
+        even_share = STREAMS * TOKENS / 3
+        assert len(tokens_by_endpoint) == 3
+        # Objective: prefill takes at most half as long again as for an even share.
+        assert max(tokens_by_endpoint.values()) <= 1.5 * even_share
 
-    def test_hosts_that_count_only_themselves_crowd_the_fastest(self) -> None:
-        placed = unread(0, 0)
-        assert max(placed.values()) > 1.5 * STREAMS * TOKENS / 3
+    def test_hosts_that_count_only_themselves_overload_the_fastest(self) -> None:
+        tokens_by_endpoint = prefill_tokens(0, 0)
+        assert max(tokens_by_endpoint.values()) > 1.5 * STREAMS * TOKENS / 3
--- a/tests/router/test_load_silence.py
+++ b/tests/router/test_load_silence.py
@@ -1,4 +1,4 @@
-"""Load pattern: an endpoint is lost without a word under many streams."""
+"""Load pattern: an endpoint with many streams is lost and sends no error."""
 
 from __future__ import annotations
 
@@ -8,44 +8,42 @@
 
 from hemlockhall_router.policy.silence import EventIntervalEstimator
 
-# Longest silence allowed of a stream, in seconds: a quarter of a pause of 250 ms.
+# Longest silence limit of a stream: a quarter of an event gap of 250 ms.
 LONGEST_S = 0.0625
 
 
-def after(intervals: list[float]) -> float:
-    """Return the silence that is a surprise after some intervals."""
-    interval = EventIntervalEstimator()
+def limit_after(intervals: list[float]) -> float:
+    """Return the silence limit after some intervals between events."""
+    estimator = EventIntervalEstimator()
     for interval_s in intervals:
-        interval.add(interval_s)
-    return interval.silence_limit_s(LONGEST_S)
+        estimator.add(interval_s)
+    return estimator.silence_limit_s(LONGEST_S)
 
 
 class TestLostEndpoint:
     @pytest.mark.parametrize("seed", range(5))
-    def test_steady_streams_are_missed_before_the_longest_silence(
-        self, seed: int
-    ) -> None:
-        """Guards against streams that are late for what is left after the check."""
+    def test_the_silence_of_steady_streams_is_noticed_early(self, seed: int) -> None:
+        """Guards against streams that are late because they are moved too late."""
         rng = random.Random(seed)
-        steady = [rng.gauss(0.034, 0.001) for _ in range(30)]
-        assert after(steady) < 0.8 * LONGEST_S
+        intervals = [rng.gauss(0.034, 0.001) for _ in range(30)]
+        assert limit_after(intervals) < 0.8 * LONGEST_S
 
     @pytest.mark.parametrize("seed", range(5))
-    def test_streams_that_pause_often_are_not_checked_sooner(self, seed: int) -> None:
-        """Guards against checks of endpoints that live, which load them more."""
+    def test_uneven_streams_are_not_probed_early(self, seed: int) -> None:
+        """Guards against probes of live endpoints, which add to their load."""
         rng = random.Random(seed)
-        uneven = [rng.choice((0.01, 0.06)) for _ in range(30)]
-        assert after(uneven) == LONGEST_S
+        intervals = [rng.choice((0.01, 0.06)) for _ in range(30)]
+        assert limit_after(intervals) == LONGEST_S
 
-    def test_slow_streams_are_not_missed_between_two_events(self) -> None:
-        """Guards against a silence shorter than the usual time between events."""
-        assert after([0.08] * 30) == LONGEST_S
+    def test_slow_streams_are_not_probed_between_two_events(self) -> None:
+        """Guards against a limit shorter than the usual time between events."""
+        assert limit_after([0.08] * 30) == LONGEST_S
 
-    def test_a_new_stream_is_given_the_longest_silence(self) -> None:
-        """Guards against a judgement by too few events."""
-        assert after([]) == LONGEST_S
-        assert after([0.01, 0.01]) == LONGEST_S
+    def test_a_new_stream_is_not_probed_early(self) -> None:
+        """Guards against an estimate from too few events."""
+        assert limit_after([]) == LONGEST_S
+        assert limit_after([0.01, 0.01]) == LONGEST_S
 
-    def test_quick_streams_are_given_a_least_silence(self) -> None:
-        """Guards against checks for a delay of the host itself."""
-        assert after([0.001] * 30) == pytest.approx(0.6 * LONGEST_S)
+    def test_the_limit_of_quick_streams_has_a_lower_bound(self) -> None:
+        """Guards against probes for a delay of the host itself."""
+        assert limit_after([0.001] * 30) == pytest.approx(0.6 * LONGEST_S)
