--- a/packages/router/src/hemlockhall_router/version/coverage.py
+++ b/packages/router/src/hemlockhall_router/version/coverage.py
@@ -1,4 +1,4 @@
-"""How often a group holds each layer."""
+"""Number of members of a group that hold each layer."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
     from hemlockhall_router.version.routing import Model
 
 
-# Holders of the first layer beyond those of others: a request takes a place at its
-# first endpoint only, and these have few.
-STARTS = 1
+# Holders that the first layer should have beyond those of other layers. A request takes
+# a slot at its first endpoint only, and an endpoint has few slots.
+EXTRA_FIRST_LAYER_HOLDERS = 1
 
 
-def fewest_parts(model: Model, ranges: list[LayerRange]) -> int | None:
-    """Return the parts of the shortest path through ranges, or None without one."""
+def min_stages(model: Model, ranges: list[LayerRange]) -> int | None:
+    """Return the stages of the shortest path through ranges, or None without one."""
     ordered = sorted(ranges, key=lambda layers: layers.first)
-    reached = parts = index = 0
+    reached = stages = index = 0
     while reached < model.layers:
         furthest = reached
         while index < len(ordered) and ordered[index].first <= reached:
@@ -28,71 +28,76 @@
         if furthest == reached:
             return None
         reached = furthest
-        parts += 1
-    return parts
+        stages += 1
+    return stages
 
 
 class Coverage:
-    """Counts of the holders of each layer."""
+    """Counts the holders of each layer, by assigned layers."""
 
     def __init__(self, model: Model, members: list[Member]) -> None:
         self.counts = [0] * model.layers
         for member in members:
-            if member.held is not None:
-                self.add(member.held)
+            if member.assigned is not None:
+                self.add(member.assigned)
 
     @classmethod
-    def kept(cls, model: Model, members: list[Member]) -> Coverage:
-        """Count only what is served now and after the orders under way."""
+    def retained(cls, model: Model, members: list[Member]) -> Coverage:
+        """Count only layers that are served now and after the orders under way."""
         coverage = cls(model, [])
         for member in members:
-            if member.kept is not None:
-                coverage.add(member.kept)
+            if member.retained is not None:
+                coverage.add(member.retained)
         return coverage
 
     def add(self, layers: LayerRange, count: int = 1) -> None:
-        """Count one holder more, or with -1 one less."""
+        """Add ``count`` holders of a range; -1 removes one."""
         for layer in range(max(0, layers.first), min(len(self.counts), layers.end)):
             self.counts[layer] += count
 
-    def holes(self) -> list[LayerRange]:
-        """Return the ranges that nobody holds."""
-        found: list[LayerRange] = []
+    def gaps(self) -> list[LayerRange]:
+        """Return the ranges that no member holds."""
+        gaps: list[LayerRange] = []
         first = None
         for layer, count in enumerate([*self.counts, 1]):
             if count == 0 and first is None:
                 first = layer
             elif count > 0 and first is not None:
-                found.append(LayerRange(first, layer))
+                gaps.append(LayerRange(first, layer))
                 first = None
-        return found
-
-    def without(self, member: Member) -> bool:
-        """Return whether others hold all layers of a holder counted here too."""
-        assert member.held is not None
-        kept = member.kept
-        for layer in range(member.held.first, member.held.end):
-            own = kept is not None and kept.first <= layer < kept.end
+        return gaps
+
+    def is_redundant(self, member: Member) -> bool:
+        """Return whether other members hold all layers of a counted member."""
+        assert member.assigned is not None
+        retained = member.retained
+        for layer in range(member.assigned.first, member.assigned.end):
+            own = retained is not None and retained.first <= layer < retained.end
             if self.counts[layer] - own < 1:
                 return False
         return True
 
-    def need(self, first: int, end: int) -> float:
-        """Return how much another holder of a range would help.
+    def redundancy_gain(self, first: int, end: int) -> float:
+        """Return the benefit of one more holder of a range, without a unit.
 
-        A layer with one holder is lost with it; each further holder helps less.
+        A layer with a single holder is lost with it, so a second one helps most;
+        each further holder helps a fifth as much. The first layer counts as if it had
+        ``EXTRA_FIRST_LAYER_HOLDERS`` fewer.
         """
-        helped = sum(0.2**count for count in self.counts[first:end])
+        gain = sum(0.2**count for count in self.counts[first:end])
         if first <= 0 < end:
-            helped += 0.2 ** max(0, self.counts[0] - STARTS) - 0.2 ** self.counts[0]
-        return helped
+            gain += (
+                0.2 ** max(0, self.counts[0] - EXTRA_FIRST_LAYER_HOLDERS)
+                - 0.2 ** self.counts[0]
+            )
+        return gain
 
-    def starts_spared(self) -> bool:
-        """Return whether a holder of the first layer may give it up."""
-        return self.counts[0] > 1 + STARTS
+    def can_spare_first_layer(self) -> bool:
+        """Return whether a holder of the first layer may drop it."""
+        return self.counts[0] > 1 + EXTRA_FIRST_LAYER_HOLDERS
 
 
 __all__ = [
     "Coverage",
-    "fewest_parts",
+    "min_stages",
 ]
--- a/packages/router/src/hemlockhall_router/version/replica.py
+++ b/packages/router/src/hemlockhall_router/version/replica.py
@@ -1,8 +1,8 @@
 """Division of a data centre's endpoints into replicas.
 
-A replica is a set of endpoints of bounded size that holds whole copies of the
-model. Its layers are planned, repaired and searched apart from those of the other
-replicas, so neither a plan nor a choice grows with the number of endpoints.
+A replica is a set of endpoints of bounded size that holds complete copies of the
+model. Its layers are planned and repaired apart from those of other replicas, and a
+path search looks at a few replicas, so neither grows with the number of endpoints.
 """
 
 from __future__ import annotations
@@ -18,18 +18,18 @@
     from hemlockhall_router.version.endpoint import Endpoint
     from hemlockhall_router.version.routing import Model
 
-# Copies that the memory of each replica must hold for a data centre to be divided
-# once more, and below which it is divided once less: losses that come and go must
-# not divide it anew each time.
-DIVIDE_COPIES = 3.0
-JOIN_COPIES = 2.0
-# Times that a data centre is halved at most.
-MAX_HALVINGS = 12
-# Endpoints whose hash is kept.
-HASHES = 8192
+# Copies that the memory of the smallest replica must hold for a data centre to be split
+# once more, and below which it is split once less. The two differ so that endpoints
+# which come and go do not split and merge it repeatedly.
+SPLIT_COPIES = 3.0
+MERGE_COPIES = 2.0
+# Splits of a data centre; n of them make 2**n replicas.
+MAX_SPLITS = 12
+# Endpoint ids whose hash is cached.
+HASH_CACHE_SIZE = 8192
 
 
-@lru_cache(maxsize=HASHES)
+@lru_cache(maxsize=HASH_CACHE_SIZE)
 def _hash(endpoint_id: str) -> int:
     digest = hashlib.blake2b(endpoint_id.encode(), digest_size=4).digest()
     return int.from_bytes(digest, "big")
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True, frozen=True, order=True)
 class Replica:
-    """One part of a data centre; those of all data centres are numbered from 0."""
+    """A replica of a data centre; numbers start at 0 in each data centre."""
 
     number: int
     data_centre: str
@@ -45,39 +45,39 @@
 
 @dataclass(slots=True)
 class ReplicaDivision:
-    """How often each data centre is halved.
+    """Number of times that each data centre is split in two.
 
-    An endpoint's replica follows from a hash of its id. Dividing once more splits
-    each replica in two, so no endpoint changes places with another one.
+    A hash of its id decides an endpoint's replica. One more split divides each replica
+    in two, and moves no endpoint between the replicas there were.
     """
 
-    halvings: dict[str, int] = field(default_factory=dict)
+    splits: dict[str, int] = field(default_factory=dict)
 
     def update(self, model: Model, endpoints: Iterable[Endpoint]) -> None:
-        """Adapt to the endpoints that live."""
-        by_place: dict[str, list[Endpoint]] = {}
+        """Split or merge data centres to fit the live endpoints."""
+        by_data_centre: dict[str, list[Endpoint]] = {}
         for endpoint in endpoints:
-            by_place.setdefault(endpoint.data_centre, []).append(endpoint)
-        for place, found in by_place.items():
-            halvings = self.halvings.get(place, 0)
-            while halvings and _least(model, found, halvings) < JOIN_COPIES:
-                halvings -= 1
-            while halvings < MAX_HALVINGS:
-                if _least(model, found, halvings + 1) < DIVIDE_COPIES:
+            by_data_centre.setdefault(endpoint.data_centre, []).append(endpoint)
+        for data_centre, members in by_data_centre.items():
+            splits = self.splits.get(data_centre, 0)
+            while splits and _min_copies(model, members, splits) < MERGE_COPIES:
+                splits -= 1
+            while splits < MAX_SPLITS:
+                if _min_copies(model, members, splits + 1) < SPLIT_COPIES:
                     break
-                halvings += 1
-            self.halvings[place] = halvings
+                splits += 1
+            self.splits[data_centre] = splits
 
     def replica(self, endpoint: Endpoint) -> Replica:
-        """Return the replica that an endpoint belongs to."""
-        place = endpoint.data_centre
-        mask = (1 << self.halvings.get(place, 0)) - 1
-        return Replica(_hash(endpoint.id) & mask, place)
+        """Return the replica of an endpoint."""
+        data_centre = endpoint.data_centre
+        mask = (1 << self.splits.get(data_centre, 0)) - 1
+        return Replica(_hash(endpoint.id) & mask, data_centre)
 
 
-def _least(model: Model, endpoints: list[Endpoint], halvings: int) -> float:
-    """Return the copies that the memory of the smallest replica holds."""
-    memory = [0] * (1 << halvings)
+def _min_copies(model: Model, endpoints: list[Endpoint], splits: int) -> float:
+    """Return the copies that fill the memory of the smallest replica."""
+    memory = [0] * (1 << splits)
     mask = len(memory) - 1
     for endpoint in endpoints:
         memory[_hash(endpoint.id) & mask] += model.capacity(endpoint.accelerator)
