--- a/packages/router/src/hemlockhall_router/request/active_stream.py
+++ b/packages/router/src/hemlockhall_router/request/active_stream.py
@@ -16,7 +16,7 @@
 T = TypeVar("T")
 
 
-class MovedError(Exception):
+class MoveRequestedError(Exception):
     """This stream should go on elsewhere.
 
     ``still_served`` tells whether its endpoints may still serve it: then it is not
@@ -56,8 +56,8 @@
         self.probe_requested = False
         self.first_event_seen = False
         self.move_requested_at = float("-inf")
-        self._interval = EventIntervalEstimator()
-        self._moved: MovedError | None = None
+        self._interval_estimator = EventIntervalEstimator()
+        self._move_request: MoveRequestedError | None = None
         self._scope: anyio.CancelScope | None = None
 
     def record_event(self, silence_limit_s: float) -> None:
@@ -67,9 +67,9 @@
         """
         now = time.monotonic()
         if self.first_event_seen:
-            self._interval.add(now - self.last_event_at)
+            self._interval_estimator.add(now - self.last_event_at)
         self.last_event_at = now
-        self.silence_limit_s = self._interval.silence_limit_s(silence_limit_s)
+        self.silence_limit_s = self._interval_estimator.silence_limit_s(silence_limit_s)
         self.probe_requested = False
         self.first_event_seen = True
 
@@ -95,20 +95,20 @@
         """
         if not self._movable or (still_served and not self.first_event_seen):
             return
-        if self._moved is not None and not self._moved.still_served:
+        if self._move_request is not None and not self._move_request.still_served:
             return
         self.move_requested_at = time.monotonic()
-        self._moved = MovedError(cause, still_served=still_served)
+        self._move_request = MoveRequestedError(cause, still_served=still_served)
         if self._scope is not None:
             self._scope.cancel()
 
     async def wait(self, read: Callable[[float], Awaitable[T]], deadline: float) -> T:
-        """Await a read of the endpoint; raise ``MovedError`` if it is moved.
+        """Await a read of the endpoint; raise ``MoveRequestedError`` if it is moved.
 
         Only reads are given up: a write to the caller that was given up
         halfway would leave it open whether the caller has the event.
         """
-        self._raise_moved()
+        self._raise_if_move_requested()
         with anyio.CancelScope() as scope:
             self._scope = scope
             try:
@@ -116,19 +116,19 @@
             finally:
                 self._scope = None
         if scope.cancelled_caught:
-            self._raise_moved()
+            self._raise_if_move_requested()
         return result
 
-    def _raise_moved(self) -> None:
-        moved = self._moved
-        if moved is None:
+    def _raise_if_move_requested(self) -> None:
+        request = self._move_request
+        if request is None:
             return
-        if moved.still_served:
-            self._moved = None
-        raise moved
+        if request.still_served:
+            self._move_request = None
+        raise request
 
 
 __all__ = [
-    "MovedError",
+    "MoveRequestedError",
     "ActiveStream",
 ]
--- a/packages/router/src/hemlockhall_router/request/attempt.py
+++ b/packages/router/src/hemlockhall_router/request/attempt.py
@@ -11,16 +11,16 @@
     ReadTimeoutError,
     TransportError,
 )
-from hemlockhall_router.request.active_stream import ActiveStream, MovedError
-from hemlockhall_router.request.events import Splitter
-from hemlockhall_router.request.failure import TryFailedError, id_text
-from hemlockhall_router.request.plain import CONNECT_S
+from hemlockhall_router.request.active_stream import ActiveStream, MoveRequestedError
+from hemlockhall_router.request.events import EventSplitter
+from hemlockhall_router.request.failure import AttemptFailedError, decode_id
+from hemlockhall_router.request.plain import CONNECT_TIMEOUT_S
 from hemlockhall_router.request.reason import RetryReason
 from hemlockhall_router.request.relay import (
-    Occupied,
+    InFlightTracker,
     RelayContext,
     RoutedRequest,
-    outgoing,
+    encode_upstream_request,
 )
 
 if TYPE_CHECKING:
@@ -29,12 +29,12 @@
     from hemlockhall_router.connection.client import ClientConnection
     from hemlockhall_router.connection.message import ResponseHead
     from hemlockhall_router.request.events import Event
-    from hemlockhall_router.request.patience import Patience
+    from hemlockhall_router.request.timeouts import StreamTimeouts
     from hemlockhall_router.version.path import Path
 
 # Status with which an endpoint on a path says that it has no room, or is leaving
 # or dead; the questions that follow tell which.
-NO_ROOM = 503
+SERVICE_UNAVAILABLE = 503
 
 
 class Attempt:
@@ -44,100 +44,115 @@
     """
 
     def __init__(
-        self, work: RoutedRequest, context: RelayContext, path: Path, patience: Patience
+        self,
+        request: RoutedRequest,
+        context: RelayContext,
+        path: Path,
+        timeouts: StreamTimeouts,
     ) -> None:
-        self._work = work
+        self._request = request
         self._context = context
-        self._patience = patience
-        self._splitter = Splitter()
+        self._timeouts = timeouts
+        self._splitter = EventSplitter()
         self._conn: ClientConnection | None = None
-        self._began = 0.0
+        self._sent_at = 0.0
         self.path = path
         self.head: ResponseHead | None = None
-        self.running = ActiveStream(
-            self.ids, patience.quiet_first_s, movable=work.route.retryable
+        self.active_stream = ActiveStream(
+            self.endpoint_ids,
+            timeouts.first_event_silence_limit_s,
+            movable=request.route.retryable,
+        )
+        self._in_flight = InFlightTracker(
+            context.directory,
+            self.endpoint_ids,
+            self.active_stream,
+            request.token_estimate,
         )
-        self._occupied = Occupied(context.directory, self.ids, self.running, work.size)
 
     @property
-    def ids(self) -> list[str]:
+    def endpoint_ids(self) -> list[str]:
         """The endpoints of its path."""
-        return [part.endpoint.id for part in self.path.stages]
+        return [stage.endpoint.id for stage in self.path.stages]
 
-    async def begin(self, resume_after: bytes | None) -> None:
+    async def start(self, resume_after: bytes | None) -> None:
         """Send the request, and return when its answer has begun.
 
         Raises
         ------
-        TryFailedError
+        AttemptFailedError
             If the endpoint cannot be reached, refuses, or fails.
-        MovedError
+        MoveRequestedError
             If the process wants the stream elsewhere meanwhile.
         """
         await self._connect()
-        self._occupied.enter()
+        self._in_flight.start()
         self._send_activations()
-        text = outgoing(
-            self._work,
+        data = encode_upstream_request(
+            self._request,
             self._context.dialect,
             self.path.first_endpoint,
             self.path,
             resume_after,
         )
-        self._began = time.monotonic()
-        with self._faults():
+        self._sent_at = time.monotonic()
+        with self._translate_errors():
             assert self._conn is not None
-            await self._conn.send(text, self._work.deadline)
-            head = await self._own_head()
-        self._judge(head)
+            await self._conn.send(data, self._request.deadline)
+            head = await self._read_head()
+        self._check_head(head)
         self.head = head
 
-    async def events(self) -> list[Event] | None:
+    async def next_events(self) -> list[Event] | None:
         """Return the next whole events, or None when the stream is complete.
 
         Raises
         ------
-        TryFailedError
+        AttemptFailedError
             If the stream broke off.
-        MovedError
+        MoveRequestedError
             If the process wants the stream elsewhere, or it is silent.
         """
         assert self._conn is not None
-        patience = self._patience
-        if self.running.first_event_seen:
-            deadline = patience.pause_deadline()
+        timeouts = self._timeouts
+        if self.active_stream.first_event_seen:
+            deadline = timeouts.next_event_deadline()
         else:
-            deadline = patience.first_deadline()
-        with self._faults():
+            deadline = timeouts.first_event_deadline()
+        with self._translate_errors():
             try:
-                data = await self.running.wait(self._conn.read_chunk, deadline)
+                data = await self.active_stream.wait(self._conn.read_chunk, deadline)
             except ReadTimeoutError as exc:
-                if self._work.left_s <= 0:
+                if self._request.remaining_s <= 0:
                     raise
                 # It may be dead or slow. Whoever can go on without it is asked
                 # first: a slow one has the next event ready soon.
-                self._context.prober.request_probes(self.ids)
-                self._patience.grow()
-                raise MovedError(
+                self._context.prober.request_probes(self.endpoint_ids)
+                self._timeouts.back_off()
+                raise MoveRequestedError(
                     str(exc), still_served=True, reason=RetryReason.SILENT
                 ) from exc
         if data is not None:
             return self._splitter.feed(data)
         if self._splitter.partial:
-            raise TryFailedError(RetryReason.BROKEN, "ended inside an event", ran=True)
+            raise AttemptFailedError(
+                RetryReason.BROKEN, "ended inside an event", may_have_run=True
+            )
         return None
 
-    def heard(self) -> None:
+    def record_event(self) -> None:
         """Note that an event came that the caller did not have."""
-        if not self.running.first_event_seen:
-            took = time.monotonic() - self._began
-            self._context.directory.record_success(self.path.first_endpoint.id, took)
-            self._context.metrics.first_event.record(took)
-            self._occupied.read()
-        self._occupied.heard()
-        self.running.record_event(self._patience.quiet_pause_s)
-
-    async def keep(self) -> None:
+        if not self.active_stream.first_event_seen:
+            latency_s = time.monotonic() - self._sent_at
+            self._context.directory.record_success(
+                self.path.first_endpoint.id, latency_s
+            )
+            self._context.metrics.first_event.record(latency_s)
+            self._in_flight.prefill_done()
+        self._in_flight.record_event()
+        self.active_stream.record_event(self._timeouts.event_gap_silence_limit_s)
+
+    async def release_connection(self) -> None:
         """Give the connection back after a complete answer."""
         assert self._conn is not None
         assert self.head is not None
@@ -148,90 +163,98 @@
 
     async def close(self) -> None:
         """End the run, wherever it is."""
-        self._occupied.exit()
+        self._in_flight.finish()
         if self._conn is not None:
             await self._conn.close()
 
     async def _connect(self) -> None:
         first = self.path.first_endpoint
-        deadline = min(self._work.deadline, time.monotonic() + CONNECT_S)
+        deadline = min(self._request.deadline, time.monotonic() + CONNECT_TIMEOUT_S)
         try:
             self._conn = await self._context.pool.acquire(first.address, deadline)
         except NotSentError as exc:
             self._context.directory.record_failure(first.id, str(exc))
-            raise TryFailedError(
-                RetryReason.NOT_SENT, str(exc), ran=False, suspects=[first.id]
+            raise AttemptFailedError(
+                RetryReason.NOT_SENT, str(exc), may_have_run=False, suspects=[first.id]
             ) from exc
 
     def _send_activations(self) -> None:
-        work = self._work
-        if work.service.model is not None:
+        request = self._request
+        if request.service.model is not None:
             self._context.data_centre_links.record_transfer(
-                self.path, work.service.model, work.size
+                self.path, request.service.model, request.token_estimate
             )
 
-    async def _own_head(self) -> ResponseHead:
+    async def _read_head(self) -> ResponseHead:
         assert self._conn is not None
         name = self._context.dialect.headers.request_id
         while True:
-            deadline = self._patience.first_deadline()
-            head = await self.running.wait(self._conn.read_head, deadline)
+            deadline = self._timeouts.first_event_deadline()
+            head = await self.active_stream.wait(self._conn.read_head, deadline)
             echoed = head.header(name)
-            if echoed is None or echoed == self._work.id:
+            if echoed is None or echoed == self._request.id:
                 return head
             # A late answer to an earlier request of this connection.
             while await self._conn.read_chunk(deadline) is not None:
                 continue
 
     @contextmanager
-    def _faults(self) -> Iterator[None]:
+    def _translate_errors(self) -> Iterator[None]:
         try:
             yield
         except TransportError as exc:
-            self._context.prober.request_probes(self.ids)
-            self._patience.grow()
+            self._context.prober.request_probes(self.endpoint_ids)
+            self._timeouts.back_off()
             silent = isinstance(exc, ReadTimeoutError)
-            raise TryFailedError(
+            raise AttemptFailedError(
                 RetryReason.SILENT if silent else RetryReason.BROKEN,
                 str(exc),
-                ran=True,
-                suspects=self.ids if silent else self.ids[:1],
+                may_have_run=True,
+                suspects=self.endpoint_ids if silent else self.endpoint_ids[:1],
             ) from exc
 
-    def _judge(self, head: ResponseHead) -> None:
-        """Raise ``TryFailedError`` unless the answer is a stream to relay."""
+    def _check_head(self, head: ResponseHead) -> None:
+        """Raise ``AttemptFailedError`` unless the answer is a stream to relay."""
         names = self._context.dialect.headers
-        not_run = head.header(names.not_executed) is not None or head.status == 421
-        if not_run:
-            suspects = [self._blame(head)]
+        not_executed = head.header(names.not_executed) is not None or head.status == 421
+        if not_executed:
+            suspects = [self._report_refusal(head)]
             cause = f"status {head.status}"
-            raise TryFailedError(
-                RetryReason.REJECTED, cause, ran=False, suspects=suspects
+            raise AttemptFailedError(
+                RetryReason.REJECTED, cause, may_have_run=False, suspects=suspects
             )
         if head.status >= 300:
-            raise TryFailedError(RetryReason.FAILED, f"status {head.status}", ran=True)
+            raise AttemptFailedError(
+                RetryReason.FAILED, f"status {head.status}", may_have_run=True
+            )
         if head.header(names.signature) is None:
-            raise TryFailedError(RetryReason.FAILED, "no signature", ran=True)
+            raise AttemptFailedError(
+                RetryReason.FAILED, "no signature", may_have_run=True
+            )
         if head.header(b"content-encoding") is not None:
-            raise TryFailedError(RetryReason.FAILED, "the body is encoded", ran=True)
+            raise AttemptFailedError(
+                RetryReason.FAILED, "the body is encoded", may_have_run=True
+            )
 
-    def _blame(self, head: ResponseHead) -> str:
+    def _report_refusal(self, head: ResponseHead) -> str:
         """Note which endpoint of the path refused, and return its id."""
-        at_fault = id_text(
+        failed_address = decode_id(
             head.header(self._context.dialect.headers.failed_endpoint) or b""
         )
-        for part in self.path.stages:
-            host, port = part.endpoint.address
-            if at_fault != f"{host}:{port}":
+        for stage in self.path.stages:
+            host, port = stage.endpoint.address
+            if failed_address != f"{host}:{port}":
                 continue
-            key = part.endpoint.id
-            if head.status == NO_ROOM:
-                self._context.directory.record_busy(key)
-                self._context.directory.record_refusal(key)
+            endpoint_id = stage.endpoint.id
+            if head.status == SERVICE_UNAVAILABLE:
+                self._context.directory.record_busy(endpoint_id)
+                self._context.directory.record_refusal(endpoint_id)
             else:
-                self._context.directory.record_failure(key, f"status {head.status}")
-            self._context.prober.request_probes([key])
-            return key
+                self._context.directory.record_failure(
+                    endpoint_id, f"status {head.status}"
+                )
+            self._context.prober.request_probes([endpoint_id])
+            return endpoint_id
         return self.path.first_endpoint.id
 
 
--- a/packages/router/src/hemlockhall_router/request/events.py
+++ b/packages/router/src/hemlockhall_router/request/events.py
@@ -4,53 +4,53 @@
 
 from dataclasses import dataclass
 
-END = b"\n\n"
-END_CRLF = b"\r\n\r\n"
+EVENT_END_LF = b"\n\n"
+EVENT_END_CRLF = b"\r\n\r\n"
 
 
 @dataclass(slots=True, frozen=True)
 class Event:
     """An event as sent, with its id."""
 
-    text: bytes
+    raw: bytes
     id: bytes | None
 
 
-class Splitter:
+class EventSplitter:
     """Collects bytes and returns whole events."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._pending = b""
 
     def feed(self, data: bytes) -> list[Event]:
         """Return the events that are complete now."""
-        self._rest += data
+        self._pending += data
         events: list[Event] = []
         while True:
-            end = _end(self._rest)
+            end = _end(self._pending)
             if end < 0:
                 return events
-            text, self._rest = self._rest[:end], self._rest[end:]
-            events.append(Event(text, _id(text)))
+            raw, self._pending = self._pending[:end], self._pending[end:]
+            events.append(Event(raw, _id(raw)))
 
     @property
     def partial(self) -> bool:
         """Whether the bytes so far stop inside an event."""
-        return bool(self._rest.strip())
+        return bool(self._pending.strip())
 
 
-def _end(text: bytes) -> int:
-    plain = text.find(END)
-    crlf = text.find(END_CRLF)
+def _end(data: bytes) -> int:
+    plain = data.find(EVENT_END_LF)
+    crlf = data.find(EVENT_END_CRLF)
     if plain < 0 and crlf < 0:
         return -1
     if crlf < 0 or 0 <= plain < crlf:
-        return plain + len(END)
-    return crlf + len(END_CRLF)
+        return plain + len(EVENT_END_LF)
+    return crlf + len(EVENT_END_CRLF)
 
 
-def _id(text: bytes) -> bytes | None:
-    for line in text.splitlines():
+def _id(data: bytes) -> bytes | None:
+    for line in data.splitlines():
         if line.startswith(b"id:"):
             return line[3:].strip()
     return None
@@ -58,5 +58,5 @@
 
 __all__ = [
     "Event",
-    "Splitter",
+    "EventSplitter",
 ]
--- a/packages/router/src/hemlockhall_router/request/failure.py
+++ b/packages/router/src/hemlockhall_router/request/failure.py
@@ -11,7 +11,7 @@
     from hemlockhall_router.request.reason import RetryReason
 
 
-class TryFailedError(Exception):
+class AttemptFailedError(Exception):
     """One try failed; another may follow.
 
     ``ran`` tells whether it may have run; ``response`` is the endpoint's own
@@ -24,23 +24,23 @@
         reason: RetryReason,
         cause: str,
         *,
-        ran: bool,
+        may_have_run: bool,
         response: Response | None = None,
         suspects: Iterable[str] = (),
     ) -> None:
         super().__init__(cause)
         self.reason = reason
-        self.ran = ran
+        self.may_have_run = may_have_run
         self.response = response
         self.suspects = frozenset(suspects)
 
 
-def id_text(value: bytes) -> str:
+def decode_id(value: bytes) -> str:
     """Return an id of the wire for a log line."""
     return value.decode("latin-1")
 
 
 __all__ = [
-    "TryFailedError",
-    "id_text",
+    "AttemptFailedError",
+    "decode_id",
 ]
--- a/packages/router/src/hemlockhall_router/request/relay.py
+++ b/packages/router/src/hemlockhall_router/request/relay.py
@@ -24,7 +24,7 @@
     from hemlockhall_router.version.routing import Customer, Route, Service
 
 # Seconds taken off the time that an endpoint is told, for the way there.
-WAY_S = 0.005
+TRANSIT_S = 0.005
 
 
 @dataclass(slots=True)
@@ -55,7 +55,7 @@
     token_counts: TokenCounts | None = None
 
     @property
-    def size(self) -> int:
+    def token_estimate(self) -> int:
         """Tokens for which it takes memory at most, or what is usual."""
         if self.token_counts is not None:
             return self.token_counts.prompt + self.token_counts.max_output
@@ -67,13 +67,13 @@
         )
 
     @property
-    def left_s(self) -> float:
+    def remaining_s(self) -> float:
         """Seconds until the deadline."""
         return self.deadline - time.monotonic()
 
 
-def outgoing(
-    work: RoutedRequest,
+def encode_upstream_request(
+    request: RoutedRequest,
     dialect: Dialect,
     endpoint: Endpoint,
     path: Path | None = None,
@@ -85,7 +85,7 @@
     that names a customer or an endpoint itself would act for somebody else.
     """
     names = dialect.headers
-    ours = {
+    replaced = {
         b"content-length",
         names.api_key,
         names.customer,
@@ -97,24 +97,26 @@
         names.failed_endpoint,
     }
     if resume_after is not None:
-        ours.add(names.resume_after)
+        replaced.add(names.resume_after)
     headers: Headers = []
-    for key, value in end_to_end_headers(work.head.headers):
-        if key.lower() not in ours:
+    for key, value in end_to_end_headers(request.head.headers):
+        if key.lower() not in replaced:
             headers.append((key, value))
-    left_ms = max(1, int((work.left_s - WAY_S) * 1000))
-    headers.append((names.deadline_ms, b"%d" % left_ms))
+    remaining_ms = max(1, int((request.remaining_s - TRANSIT_S) * 1000))
+    headers.append((names.deadline_ms, b"%d" % remaining_ms))
     headers.append((names.expected_endpoint, endpoint.id.encode()))
-    if work.customer is not None:
-        headers.append((names.customer, work.customer.name.encode()))
+    if request.customer is not None:
+        headers.append((names.customer, request.customer.name.encode()))
     if path is not None:
         headers.append((names.path, dialect.encode_path(path)))
     if resume_after is not None:
         headers.append((names.resume_after, resume_after))
-    return encode_request(work.head.method, work.head.target, headers, work.body)
+    return encode_request(
+        request.head.method, request.head.target, headers, request.body
+    )
 
 
-class Occupied:
+class InFlightTracker:
     """Counts a request and its tokens at the endpoints that it uses.
 
     A stream is also entered there, so that it is moved if one of them fails.
@@ -123,72 +125,72 @@
     def __init__(
         self,
         directory: Directory,
-        ids: list[str],
-        running: ActiveStream | None = None,
+        endpoint_ids: list[str],
+        active_stream: ActiveStream | None = None,
         tokens: int = 0,
     ) -> None:
         self._directory = directory
-        self._running = running
+        self._active_stream = active_stream
         self._tokens = tokens
-        self._entered = False
-        self._reading = False
-        self._held: list[EndpointRecord] = []
-        for key in ids:
-            record = directory.records.get(key)
+        self._started = False
+        self._prefill_pending = False
+        self._records: list[EndpointRecord] = []
+        for endpoint_id in endpoint_ids:
+            record = directory.records.get(endpoint_id)
             if record is not None:
-                self._held.append(record)
+                self._records.append(record)
 
-    def enter(self) -> None:
+    def start(self) -> None:
         """Count the request from now on."""
-        self._reading = True
-        for record in self._held:
+        self._prefill_pending = True
+        for record in self._records:
             record.in_flight += 1
             record.tokens += self._tokens
             record.prefill_tokens += self._tokens
-            if self._running is not None:
-                record.active_streams.add(self._running)
-        if self._running is not None:
-            self._directory.active_streams.add(self._running)
-        self._entered = True
+            if self._active_stream is not None:
+                record.active_streams.add(self._active_stream)
+        if self._active_stream is not None:
+            self._directory.active_streams.add(self._active_stream)
+        self._started = True
 
-    def read(self) -> None:
+    def prefill_done(self) -> None:
         """Note that its prompt has been read; once is enough."""
-        if not self._reading:
+        if not self._prefill_pending:
             return
-        self._reading = False
-        for record in self._held:
+        self._prefill_pending = False
+        for record in self._records:
             record.prefill_tokens -= self._tokens
 
-    def heard(self) -> None:
+    def record_event(self) -> None:
         """Note that an event came through the endpoints."""
         now = time.monotonic()
-        for record in self._held:
+        for record in self._records:
             record.last_event_at = record.last_local_event_at = now
 
-    def exit(self) -> None:
+    def finish(self) -> None:
         """Count it no more; once is enough."""
-        if not self._entered:
+        if not self._started:
             return
-        self.read()
-        self._entered = False
-        for record in self._held:
+        self.prefill_done()
+        self._started = False
+        for record in self._records:
             record.in_flight -= 1
             record.tokens -= self._tokens
-            if self._running is not None:
-                record.active_streams.discard(self._running)
-        if self._running is not None:
-            self._directory.active_streams.discard(self._running)
+            if self._active_stream is not None:
+                record.active_streams.discard(self._active_stream)
+        if self._active_stream is not None:
+            self._directory.active_streams.discard(self._active_stream)
 
     def __enter__(self) -> None:
-        self.enter()
+        self.start()
 
     def __exit__(self, *_: object) -> None:
-        self.exit()
+        self.finish()
 
 
 __all__ = [
-    "Occupied",
+    "InFlightTracker",
     "RelayContext",
     "RoutedRequest",
-    "outgoing",
+    "encode_upstream_request",
 ]
--- a/packages/router/src/hemlockhall_router/request/response_writer.py
+++ b/packages/router/src/hemlockhall_router/request/response_writer.py
@@ -23,7 +23,7 @@
 
 CLOSE = (b"Connection", b"close")
 # Statuses that promise that the request did not run and never will.
-NOT_RUN = frozenset((408, 421, 429, 503))
+NOT_EXECUTED_STATUSES = frozenset((408, 421, 429, 503))
 
 
 class ResponseWriter:
@@ -54,9 +54,9 @@
         """Whether the head has been sent."""
         return self.status != 0
 
-    async def whole(self, response: Response) -> None:
+    async def forward(self, response: Response) -> None:
         """Send an endpoint's complete answer unchanged."""
-        headers = _kept(response.head.headers)
+        headers = _forwarded_headers(response.head.headers)
         headers.append((b"Content-Length", b"%d" % len(response.body)))
         body = b"" if self._head.method == b"HEAD" else response.body
         await self._send(response.head.status, response.head.reason, headers, body)
@@ -78,17 +78,17 @@
         await self._send(status, REASON_PHRASES.get(status, b""), headers, body)
         self.complete = True
 
-    async def stream(self, head: ResponseHead) -> None:
+    async def start_stream(self, head: ResponseHead) -> None:
         """Send the head of a stream; its events follow as chunks."""
-        headers = _kept(head.headers)
+        headers = _forwarded_headers(head.headers)
         headers.append((b"Transfer-Encoding", b"chunked"))
         await self._send(head.status, head.reason, headers, b"")
 
-    async def chunk(self, data: bytes) -> None:
+    async def send_events(self, data: bytes) -> None:
         """Send whole events of a stream."""
         await self._reader.send(b"%x\r\n%b\r\n" % (len(data), data))
 
-    async def end(self) -> None:
+    async def end_stream(self) -> None:
         """End a stream that is complete."""
         await self._reader.send(b"0\r\n\r\n")
         self.complete = True
@@ -105,12 +105,12 @@
         await self._reader.send(encode_response_head(status, reason, headers) + body)
 
 
-def _kept(headers: Headers) -> Headers:
+def _forwarded_headers(headers: Headers) -> Headers:
     kept = end_to_end_headers(headers)
     return [(key, value) for key, value in kept if key.lower() != b"content-length"]
 
 
 __all__ = [
-    "NOT_RUN",
+    "NOT_EXECUTED_STATUSES",
     "ResponseWriter",
 ]
--- a/packages/router/src/hemlockhall_router/request/stream.py
+++ b/packages/router/src/hemlockhall_router/request/stream.py
@@ -9,13 +9,16 @@
 import anyio
 from loguru import logger
 
-from hemlockhall_router.request.active_stream import MovedError
+from hemlockhall_router.request.active_stream import MoveRequestedError
 from hemlockhall_router.request.attempt import Attempt
-from hemlockhall_router.request.failure import TryFailedError, id_text
-from hemlockhall_router.request.patience import Patience
-from hemlockhall_router.request.plain import ABSENT_AGAIN_S, FULL_AGAIN_S
+from hemlockhall_router.request.failure import AttemptFailedError, decode_id
+from hemlockhall_router.request.plain import (
+    RETRY_AFTER_FULL_S,
+    RETRY_AFTER_NO_ENDPOINT_S,
+)
 from hemlockhall_router.request.reason import RefusalReason, RetryReason
-from hemlockhall_router.request.times import Times
+from hemlockhall_router.request.timeouts import StreamTimeouts
+from hemlockhall_router.request.times import StreamTimes
 
 if TYPE_CHECKING:
     from hemlockhall_router.request.events import Event
@@ -30,112 +33,122 @@
 PATH_RESTORE_WAIT_S = 1.3
 # Part of the objective for which a request waits at any rate; an endpoint that
 # failed a moment ago is often back by then.
-HOLD_PART = 0.12
-HOLD_POLL_S = 0.02
+MIN_PATH_WAIT_FRACTION = 0.12
+POLL_INTERVAL_S = 0.02
 # The same for a stream that has waited for a while.
-HOLD_POLL_MAX_S = 0.1
-HOLD_POLL_GROWTH = 1.2
+MAX_POLL_INTERVAL_S = 0.1
+POLL_BACKOFF_FACTOR = 1.2
 # Longest pauses for which a stream that is still served waits until another
 # endpoint takes it; after that the caller does better with what it has.
-HANDOVER_PAUSES = 1.0
+MOVE_TIMEOUT_FACTOR = 1.0
 # Objectives after which a request that endpoints refused for want of room is
 # refused, and told when to come back. Its caller leaves after four of them; one
 # that is held until then learns nothing, and comes back later than it could.
-ROOM_OBJECTIVES = 2.0
+CAPACITY_WAIT_FACTOR = 2.0
 # Tries for one request; it bounds the work that it makes. A stream that the caller
 # has a part of goes on after them, but more slowly.
-MAX_TRIES = 12
-MORE_TRIES_S = 0.5
+MAX_ATTEMPTS = 12
+EXTRA_ATTEMPT_INTERVAL_S = 0.5
 
 
 class StreamRelay:
     """Relays one stream."""
 
     def __init__(
-        self, work: RoutedRequest, context: RelayContext, reply: ResponseWriter
+        self, request: RoutedRequest, context: RelayContext, writer: ResponseWriter
     ) -> None:
-        self._work = work
+        self._request = request
         self._context = context
-        self._reply = reply
-        self._patience = Patience(work)
+        self._writer = writer
+        self._timeouts = StreamTimeouts(request)
         self._attempt: Attempt | None = None
         self._last_id: bytes | None = None
-        self._ran = False
+        self._may_have_run = False
         self._rejected = False
-        self._unaffordable = False
-        self._avoid: set[str] = set()
-        self._sent = 0
-        self._paid = False
-        self._ran_at: dict[str, Endpoint] = {}
-        self._times = Times()
+        self._retries_exhausted = False
+        self._excluded_ids: set[str] = set()
+        self._attempts_sent = 0
+        self._retry_acquired = False
+        self._executed_at: dict[str, Endpoint] = {}
+        self._times = StreamTimes()
 
     async def run(self) -> None:
         """Relay the stream until it is complete or given up."""
-        for tries in itertools.count():
-            if tries >= MAX_TRIES:
-                if not self._reply.started:
+        for attempts in itertools.count():
+            if attempts >= MAX_ATTEMPTS:
+                if not self._writer.started:
                     break
-                await anyio.sleep(MORE_TRIES_S)
-            path = await self._path()
+                await anyio.sleep(EXTRA_ATTEMPT_INTERVAL_S)
+            path = await self._find_path()
             if (
                 path is None
-                or self._work.left_s <= 0
-                or self._waited_too_long_for_room()
+                or self._request.remaining_s <= 0
+                or self._capacity_wait_expired()
             ):
                 break
-            if self._sent and not self._paid and not await self._afford():
+            if (
+                self._attempts_sent
+                and not self._retry_acquired
+                and not await self._wait_for_retry()
+            ):
                 break
-            self._paid = False
-            self._attempt = Attempt(self._work, self._context, path, self._patience)
+            self._retry_acquired = False
+            self._attempt = Attempt(self._request, self._context, path, self._timeouts)
             try:
-                await self._try()
+                await self._run_attempt()
                 return
-            except TryFailedError as again:
-                if not self._continue(again):
+            except AttemptFailedError as exc:
+                if not self._handle_failure(exc):
                     break
             finally:
                 await self._attempt.close()
         await self._give_up()
 
-    async def _try(self) -> None:
+    async def _run_attempt(self) -> None:
         assert self._attempt is not None
         try:
-            await self._attempt.begin(self._last_id)
-        except MovedError as exc:
-            raise TryFailedError(RetryReason.MOVED, str(exc), ran=True) from exc
+            await self._attempt.start(self._last_id)
+        except MoveRequestedError as exc:
+            raise AttemptFailedError(
+                RetryReason.MOVED, str(exc), may_have_run=True
+            ) from exc
         while True:
             try:
-                await self._deliver(self._attempt)
+                await self._forward_events(self._attempt)
                 return
-            except MovedError as exc:
+            except MoveRequestedError as exc:
                 if not exc.still_served:
-                    raise TryFailedError(RetryReason.MOVED, str(exc), ran=True) from exc
-                await self._hand_over(exc)
+                    raise AttemptFailedError(
+                        RetryReason.MOVED, str(exc), may_have_run=True
+                    ) from exc
+                await self._move(exc)
 
-    async def _deliver(self, attempt: Attempt) -> None:
+    async def _forward_events(self, attempt: Attempt) -> None:
         """Pass events on until the stream is complete."""
-        reply = self._reply
+        writer = self._writer
         while True:
-            events = await attempt.events()
+            events = await attempt.next_events()
             if events is None:
                 break
-            events = self._fresh(events)
+            events = self._drop_delivered(events)
             if not events:
                 continue
-            attempt.heard()
-            self._times.event()
-            if not reply.started:
+            attempt.record_event()
+            self._times.record_event()
+            if not writer.started:
                 assert attempt.head is not None
-                await reply.stream(attempt.head)
-            await reply.chunk(b"".join(event.text for event in events))
+                await writer.start_stream(attempt.head)
+            await writer.send_events(b"".join(event.raw for event in events))
             self._last_id = events[-1].id or self._last_id
-        if not reply.started:
-            raise TryFailedError(RetryReason.BROKEN, "ended without an event", ran=True)
-        await reply.end()
-        self._note_end(attempt.path)
-        await attempt.keep()
+        if not writer.started:
+            raise AttemptFailedError(
+                RetryReason.BROKEN, "ended without an event", may_have_run=True
+            )
+        await writer.end_stream()
+        self._log_end(attempt.path)
+        await attempt.release_connection()
 
-    async def _hand_over(self, moved: MovedError) -> None:
+    async def _move(self, move_request: MoveRequestedError) -> None:
         """Go on at another endpoint if one takes the stream; else stay.
 
         The endpoint that leaves or is slow still serves. Were it left first, a
@@ -145,219 +158,241 @@
         """
         old = self._attempt
         assert old is not None
-        avoid = self._avoid
-        if moved.reason is RetryReason.SILENT:
-            avoid = avoid.union(old.ids)
+        excluded = self._excluded_ids
+        if move_request.reason is RetryReason.SILENT:
+            excluded = excluded.union(old.endpoint_ids)
         path = self._context.chooser.choose_path(
-            self._work.service, avoid, tokens=self._work.size
+            self._request.service, excluded, tokens=self._request.token_estimate
         )
         if path is None or path.first_endpoint.id == old.path.first_endpoint.id:
-            self._leave_silent(moved)
+            self._abandon_silent(move_request)
             return
-        if not self._may_leave(old.path) or not self._allow():
+        if not self._may_add_endpoint(old.path) or not self._acquire_retry():
             return
-        self._sent += 1
-        new = Attempt(self._work, self._context, path, self._patience)
+        self._attempts_sent += 1
+        new = Attempt(self._request, self._context, path, self._timeouts)
         try:
-            with anyio.fail_after(self._patience.pause_s * HANDOVER_PAUSES):
-                await new.begin(self._last_id)
+            with anyio.fail_after(self._timeouts.max_event_gap_s * MOVE_TIMEOUT_FACTOR):
+                await new.start(self._last_id)
             self._attempt = new
-            self._note_run(old)
-            self._context.metrics.count_retry(moved.reason)
-            self._log_broken(old, moved.reason, str(moved))
-        except (TryFailedError, TimeoutError, MovedError) as exc:
-            if not isinstance(exc, TryFailedError) or exc.ran:
-                self._note_run(new)
+            self._record_execution(old)
+            self._context.metrics.count_retry(move_request.reason)
+            self._log_failure(old, move_request.reason, str(move_request))
+        except (AttemptFailedError, TimeoutError, MoveRequestedError) as exc:
+            if not isinstance(exc, AttemptFailedError) or exc.may_have_run:
+                self._record_execution(new)
             self._context.metrics.count_retry(RetryReason.STAYED)
-            self._log_broken(new, RetryReason.STAYED, str(exc) or "no answer in time")
+            self._log_failure(new, RetryReason.STAYED, str(exc) or "no answer in time")
         finally:
             await (old if self._attempt is new else new).close()
 
-    def _leave_silent(self, moved: MovedError) -> None:
-        """Raise ``TryFailedError`` for a silent run that nobody else takes.
+    def _abandon_silent(self, move_request: MoveRequestedError) -> None:
+        """Raise ``AttemptFailedError`` for a silent run that nobody else takes.
 
         Its endpoint may take it anew: only a new request shows whether the
         connection is dead. Without a repeat left it is better to wait on.
         """
-        if moved.reason is not RetryReason.SILENT or not self._allow():
+        if move_request.reason is not RetryReason.SILENT or not self._acquire_retry():
             return
-        self._paid = True
-        raise TryFailedError(RetryReason.SILENT, str(moved), ran=True) from moved
+        self._retry_acquired = True
+        raise AttemptFailedError(
+            RetryReason.SILENT, str(move_request), may_have_run=True
+        ) from move_request
 
-    async def _afford(self) -> bool:
+    async def _wait_for_retry(self) -> bool:
         """Take a repeat from the budget.
 
         Repeats come back as time passes. A stream that the caller has a part
         of waits for one: given up, it is lost, or the caller asks for all of
         it again.
         """
-        while not self._allow():
-            if not self._reply.started or self._work.left_s <= 0:
-                self._unaffordable = True
+        while not self._acquire_retry():
+            if not self._writer.started or self._request.remaining_s <= 0:
+                self._retries_exhausted = True
                 return False
-            await anyio.sleep(HOLD_POLL_S)
+            await anyio.sleep(POLL_INTERVAL_S)
         return True
 
-    def _allow(self) -> bool:
-        return self._context.retry_budget.try_acquire(self._work.service.name)
+    def _acquire_retry(self) -> bool:
+        return self._context.retry_budget.try_acquire(self._request.service.name)
 
-    def _may_leave(self, path: Path) -> bool:
+    def _may_add_endpoint(self, path: Path) -> bool:
         """Return whether the route allows one more endpoint than this path's."""
-        used = {*self._ran_at, path.first_endpoint.id}
-        return len(used) < self._work.route.max_attempts
+        used = {*self._executed_at, path.first_endpoint.id}
+        return len(used) < self._request.route.max_attempts
 
-    def _log_broken(self, attempt: Attempt, reason: RetryReason, cause: str) -> None:
+    def _log_failure(self, attempt: Attempt, reason: RetryReason, cause: str) -> None:
         logger.info(
             "stream broke",
-            request=id_text(self._work.id),
+            request=decode_id(self._request.id),
             reason=reason.value,
             cause=cause,
-            path=attempt.ids,
-            after=id_text(self._last_id or b""),
+            path=attempt.endpoint_ids,
+            after=decode_id(self._last_id or b""),
         )
 
-    def _continue(self, again: TryFailedError) -> bool:
+    def _handle_failure(self, exc: AttemptFailedError) -> bool:
         """Note a failed try; return whether another one may follow."""
-        work, attempt = self._work, self._attempt
+        request, attempt = self._request, self._attempt
         assert attempt is not None
-        self._context.metrics.count_retry(again.reason)
-        self._log_broken(attempt, again.reason, str(again))
-        self._avoid.update(again.suspects)
-        if again.reason is not RetryReason.NOT_SENT:
-            self._sent += 1
-        if again.ran:
-            self._ran = True
-            self._note_run(attempt)
-            return work.route.retryable
+        self._context.metrics.count_retry(exc.reason)
+        self._log_failure(attempt, exc.reason, str(exc))
+        self._excluded_ids.update(exc.suspects)
+        if exc.reason is not RetryReason.NOT_SENT:
+            self._attempts_sent += 1
+        if exc.may_have_run:
+            self._may_have_run = True
+            self._record_execution(attempt)
+            return request.route.retryable
         self._rejected = True
         return True
 
-    async def _path(self) -> Path | None:
+    async def _find_path(self) -> Path | None:
         """Return a path, waiting a moment for one to come back.
 
         After that moment an endpoint that failed this request is better than
         none: it may have restarted, and waiting first keeps the tries apart.
         """
-        work, chooser = self._work, self._context.chooser
-        began = time.monotonic()
-        deadline = min(work.deadline, began + self._patience.objective_s * HOLD_PART)
-        poll_s = HOLD_POLL_S
+        request, chooser = self._request, self._context.chooser
+        started_at = time.monotonic()
+        deadline = min(
+            request.deadline,
+            started_at + self._timeouts.latency_objective_s * MIN_PATH_WAIT_FRACTION,
+        )
+        interval_s = POLL_INTERVAL_S
         while True:
-            starts_at = self._starts_at()
+            first_endpoint_ids = self._allowed_first_endpoints()
             path = chooser.choose_path(
-                work.service, self._avoid, starts_at, tokens=work.size
+                request.service,
+                self._excluded_ids,
+                first_endpoint_ids,
+                tokens=request.token_estimate,
             )
             if path is not None:
                 return path
             if time.monotonic() >= deadline:
                 path = chooser.choose_path(
-                    work.service, set(), starts_at, tokens=work.size
+                    request.service,
+                    set(),
+                    first_endpoint_ids,
+                    tokens=request.token_estimate,
                 )
-                if path is not None or work.left_s <= 0 or self._too_long():
+                if (
+                    path is not None
+                    or request.remaining_s <= 0
+                    or self._path_wait_expired()
+                ):
                     return path
-            await anyio.sleep(poll_s)
-            poll_s = min(HOLD_POLL_MAX_S, poll_s * HOLD_POLL_GROWTH)
+            await anyio.sleep(interval_s)
+            interval_s = min(MAX_POLL_INTERVAL_S, interval_s * POLL_BACKOFF_FACTOR)
 
-    def _too_long(self) -> bool:
+    def _path_wait_expired(self) -> bool:
         """Return whether the wait for a path is over.
 
         A new request does not wait if there has been no path for long. A
         stream that the caller has a part of waits as long as the caller does:
         giving it up loses that.
         """
-        if self._reply.started:
+        if self._writer.started:
             return False
         return (
-            self._context.chooser.seconds_without_path(self._work.service.name)
+            self._context.chooser.seconds_without_path(self._request.service.name)
             > PATH_RESTORE_WAIT_S
         )
 
-    def _waited_too_long_for_room(self) -> bool:
+    def _capacity_wait_expired(self) -> bool:
         """Return whether a refused request has waited long enough for room."""
-        if self._reply.started or not self._rejected:
+        if self._writer.started or not self._rejected:
             return False
-        return self._times.took_s > self._patience.objective_s * ROOM_OBJECTIVES
+        return (
+            self._times.elapsed_s
+            > self._timeouts.latency_objective_s * CAPACITY_WAIT_FACTOR
+        )
 
-    def _starts_at(self) -> frozenset[str] | None:
+    def _allowed_first_endpoints(self) -> frozenset[str] | None:
         """Return where the request may be sent if its route's limit is reached.
 
         It ran at an endpoint that received it. Once as many as the route
         allows did, and have not ended, it goes on only at one of these, with other
         endpoints behind it on the path.
         """
-        there = []
-        for key, endpoint in self._ran_at.items():
+        active_ids = []
+        for endpoint_id, endpoint in self._executed_at.items():
             if self._context.directory.may_still_run(endpoint):
-                there.append(key)
-        if len(there) < self._work.route.max_attempts:
+                active_ids.append(endpoint_id)
+        if len(active_ids) < self._request.route.max_attempts:
             return None
-        return frozenset(there)
+        return frozenset(active_ids)
 
-    def _note_run(self, attempt: Attempt) -> None:
+    def _record_execution(self, attempt: Attempt) -> None:
         first = attempt.path.first_endpoint
-        self._ran_at[first.id] = first
+        self._executed_at[first.id] = first
 
-    def _note_end(self, path: Path) -> None:
+    def _log_end(self, path: Path) -> None:
         times = self._times
-        self._context.metrics.longest_pause.record(times.pause_s)
+        self._context.metrics.longest_pause.record(times.longest_event_gap_s)
         logger.info(
             "stream ended",
-            request=id_text(self._work.id),
-            first_ms=round(times.first_s * 1000),
-            pause_ms=round(times.pause_s * 1000),
-            pause_after_ms=round(times.pause_after_s * 1000),
-            took_ms=round(times.took_s * 1000),
-            tokens=self._work.size,
-            tries=self._sent + 1,
-            path=[part.endpoint.id for part in path.stages],
+            request=decode_id(self._request.id),
+            first_ms=round(times.first_event_s * 1000),
+            pause_ms=round(times.longest_event_gap_s * 1000),
+            pause_after_ms=round(times.longest_event_gap_end_s * 1000),
+            took_ms=round(times.elapsed_s * 1000),
+            tokens=self._request.token_estimate,
+            tries=self._attempts_sent + 1,
+            path=[stage.endpoint.id for stage in path.stages],
         )
 
-    def _fresh(self, events: list[Event]) -> list[Event]:
+    def _drop_delivered(self, events: list[Event]) -> list[Event]:
         """Leave out events that the caller has; ids only increase."""
-        fresh = []
-        last = _number(self._last_id)
+        undelivered = []
+        last = _event_number(self._last_id)
         for event in events:
-            number = _number(event.id)
+            number = _event_number(event.id)
             if last is not None and number is not None and number <= last:
                 continue
             last = number if number is not None else last
-            fresh.append(event)
-        return fresh
+            undelivered.append(event)
+        return undelivered
 
     async def _give_up(self) -> None:
-        work, reply = self._work, self._reply
-        late = work.left_s <= 0
-        if reply.started:
-            refusal = RefusalReason.TIMEOUT if late else RefusalReason.UNCERTAIN
-        elif self._ran and not work.route.retryable:
-            refusal = RefusalReason.TIMEOUT if late else RefusalReason.UNCERTAIN
-        elif self._unaffordable:
+        request, writer = self._request, self._writer
+        expired = request.remaining_s <= 0
+        if writer.started:
+            refusal = RefusalReason.TIMEOUT if expired else RefusalReason.UNCERTAIN
+        elif self._may_have_run and not request.route.retryable:
+            refusal = RefusalReason.TIMEOUT if expired else RefusalReason.UNCERTAIN
+        elif self._retries_exhausted:
             refusal = RefusalReason.RETRY_BUDGET
-        elif self._rejected or self._ran:
+        elif self._rejected or self._may_have_run:
             refusal = RefusalReason.ENDPOINTS_FULL
         else:
-            refusal = RefusalReason.DEADLINE if late else RefusalReason.NO_PATH
+            refusal = RefusalReason.DEADLINE if expired else RefusalReason.NO_PATH
         self._context.metrics.count_refusal(refusal)
         logger.warning(
             "stream given up",
-            request=id_text(work.id),
-            route=work.route.name,
+            request=decode_id(request.id),
+            route=request.route.name,
             reason=refusal.value,
-            after=id_text(self._last_id or b""),
-            tries=self._sent,
+            after=decode_id(self._last_id or b""),
+            tries=self._attempts_sent,
         )
-        if reply.started:
+        if writer.started:
             # The caller must see that the stream is not complete.
-            reply.close_connection = True
+            writer.close_connection = True
             return
-        if self._ran:
-            await reply.local_reply(504 if late else 502, "the endpoint did not answer")
+        if self._may_have_run:
+            await writer.local_reply(
+                504 if expired else 502, "the endpoint did not answer"
+            )
             return
-        again_s = FULL_AGAIN_S if self._rejected else ABSENT_AGAIN_S
-        await reply.local_reply(503, "no path can take the request", again_s)
+        retry_after_s = (
+            RETRY_AFTER_FULL_S if self._rejected else RETRY_AFTER_NO_ENDPOINT_S
+        )
+        await writer.local_reply(503, "no path can take the request", retry_after_s)
 
 
-def _number(value: bytes | None) -> int | None:
+def _event_number(value: bytes | None) -> int | None:
     if value is None or not value.isdigit():
         return None
     return int(value)
--- a/packages/router/src/hemlockhall_router/request/times.py
+++ b/packages/router/src/hemlockhall_router/request/times.py
@@ -5,7 +5,7 @@
 import time
 
 
-class Times:
+class StreamTimes:
     """Times of one stream in seconds since its request arrived.
 
     ``first_s`` is the first event, ``pause_s`` the longest pause between two
@@ -13,28 +13,28 @@
     """
 
     def __init__(self) -> None:
-        self._began = time.monotonic()
-        self._last = 0.0
-        self.first_s = 0.0
-        self.pause_s = 0.0
-        self.pause_after_s = 0.0
+        self._started_at = time.monotonic()
+        self._last_event_s = 0.0
+        self.first_event_s = 0.0
+        self.longest_event_gap_s = 0.0
+        self.longest_event_gap_end_s = 0.0
 
     @property
-    def took_s(self) -> float:
+    def elapsed_s(self) -> float:
         """Seconds since the request arrived."""
-        return time.monotonic() - self._began
+        return time.monotonic() - self._started_at
 
-    def event(self) -> None:
+    def record_event(self) -> None:
         """Note that events came."""
-        since = time.monotonic() - self._began
-        if not self.first_s:
-            self.first_s = since
-        elif since - self._last > self.pause_s:
-            self.pause_s = since - self._last
-            self.pause_after_s = since
-        self._last = since
+        now_s = time.monotonic() - self._started_at
+        if not self.first_event_s:
+            self.first_event_s = now_s
+        elif now_s - self._last_event_s > self.longest_event_gap_s:
+            self.longest_event_gap_s = now_s - self._last_event_s
+            self.longest_event_gap_end_s = now_s
+        self._last_event_s = now_s
 
 
 __all__ = [
-    "Times",
+    "StreamTimes",
 ]
