--- a/packages/router/src/hemlockhall_router/request/__init__.py
+++ b/packages/router/src/hemlockhall_router/request/__init__.py
@@ -1,1 +1,1 @@
-"""What lives as long as a request."""
+"""Relaying of one request, from its route to the end of its response."""
--- a/packages/router/src/hemlockhall_router/request/active_stream.py
+++ b/packages/router/src/hemlockhall_router/request/active_stream.py
@@ -1,4 +1,4 @@
-"""A stream under way on a path, as the process watches it."""
+"""State of a stream in flight, shared with the prober and the directory."""
 
 from __future__ import annotations
 
@@ -17,10 +17,17 @@
 
 
 class MoveRequestedError(Exception):
-    """This stream should go on elsewhere.
+    """The stream should continue on another path.
 
-    ``still_served`` tells whether its endpoints may still serve it: then it is not
-    lost by staying. ``reason`` is the counter's label.
+    Parameters
+    ----------
+    cause : str
+        Why, for the log.
+    still_served : bool
+        Whether the present endpoints may still serve the stream. If so, it may
+        stay where it is when no other path takes it.
+    reason : RetryReason
+        Label of the retry counter.
     """
 
     def __init__(
@@ -32,18 +39,21 @@
 
 
 class ActiveStream:
-    """One run of a stream.
+    """One attempt of a stream, watched for silence and movable to another path.
+
+    Times are monotonic seconds. ``last_event_at`` is the time of creation until
+    the first event.
 
     Parameters
     ----------
     endpoint_ids : list of str
         Endpoints on its path.
     silence_limit_s : float
-        Seconds of silence from which its endpoints are in doubt.
+        Seconds without an event after which the endpoints are probed.
     movable : bool
-        Whether it may run a second time elsewhere. One that may not is lost
-        by leaving, even if an endpoint on its path seems down: its own
-        connection tells whether it is.
+        Whether the request may run again on another path. If not, the stream
+        ignores move requests, even if an endpoint on its path seems down:
+        leaving would lose it, and its own connection shows whether it broke.
     """
 
     def __init__(
@@ -61,9 +71,10 @@
         self._scope: anyio.CancelScope | None = None
 
     def record_event(self, silence_limit_s: float) -> None:
-        """Note that something came.
+        """Record that an event arrived.
 
-        ``silence_limit_s`` is the longest silence from now on.
+        ``silence_limit_s`` is the upper bound of the next silence limit, which is
+        lower if the events come at steady intervals.
         """
         now = time.monotonic()
         if self.first_event_seen:
@@ -76,10 +87,10 @@
     def silence_exceeded(
         self, now: float, factor: float, reading_since: float = 0.0
     ) -> bool:
-        """Return whether it has been silent for too long, and not been doubted.
+        """Return whether the stream exceeded its limit and needs a probe request.
 
-        Nothing counts as missed before ``reading_since``, when this host began to
-        read again.
+        Silence before ``reading_since`` does not count: until then this host was
+        stalled and read nothing itself. ``factor`` multiplies the limit.
         """
         if self.probe_requested:
             return False
@@ -88,10 +99,12 @@
         )
 
     def request_move(self, cause: str, *, still_served: bool = False) -> None:
-        """Let it go on elsewhere.
+        """Ask the stream to continue on another path, and cancel its pending read.
 
-        One that is ``still_served`` is asked only once the caller has an event:
-        before that it has nothing to lose where it is.
+        Ignored if the stream is not movable, or if it is ``still_served`` and has
+        no event yet: it then loses nothing by waiting for its first event. A
+        request to leave endpoints that no longer serve the stream is not
+        overridden.
         """
         if not self._movable or (still_served and not self.first_event_seen):
             return
@@ -103,10 +116,15 @@
             self._scope.cancel()
 
     async def wait(self, read: Callable[[float], Awaitable[T]], deadline: float) -> T:
-        """Await a read of the endpoint; raise ``MoveRequestedError`` if it is moved.
+        """Await ``read(deadline)``, a read from the endpoint.
 
-        Only reads are given up: a write to the caller that was given up
-        halfway would leave it open whether the caller has the event.
+        Only reads are cancelled by a move: after a cancelled write to the caller
+        it would be unknown whether the caller has the event.
+
+        Raises
+        ------
+        MoveRequestedError
+            If the stream was asked to move before or during the read.
         """
         self._raise_if_move_requested()
         with anyio.CancelScope() as scope:
@@ -129,6 +147,6 @@
 
 
 __all__ = [
-    "MoveRequestedError",
     "ActiveStream",
+    "MoveRequestedError",
 ]
--- a/packages/router/src/hemlockhall_router/request/attempt.py
+++ b/packages/router/src/hemlockhall_router/request/attempt.py
@@ -1,4 +1,4 @@
-"""One run of a stream at the endpoints of a path."""
+"""One attempt of a stream on a path."""
 
 from __future__ import annotations
 
@@ -32,15 +32,14 @@
     from hemlockhall_router.request.timeouts import StreamTimeouts
     from hemlockhall_router.version.path import Path
 
-# Status with which an endpoint on a path says that it has no room, or is leaving
-# or dead; the questions that follow tell which.
+# An endpoint on the path is full, draining or dead; a probe tells which.
 SERVICE_UNAVAILABLE = 503
 
 
 class Attempt:
-    """A run of a stream, from its request to its last event.
+    """An attempt of a stream, from sending the request to the last event.
 
-    Whoever makes one closes it; the endpoints stop work on it then.
+    Its creator must call ``close``, which makes the endpoints stop work on it.
     """
 
     def __init__(
@@ -72,22 +71,27 @@
 
     @property
     def endpoint_ids(self) -> list[str]:
-        """The endpoints of its path."""
+        """The ids of the endpoints on its path, in the order of their layers."""
         return [stage.endpoint.id for stage in self.path.stages]
 
     async def start(self, resume_after: bytes | None) -> None:
-        """Send the request, and return when its answer has begun.
+        """Send the request, and wait for the head of the response.
+
+        Parameters
+        ----------
+        resume_after : bytes or None
+            Id of the last event that the caller has.
 
         Raises
         ------
         AttemptFailedError
             If the endpoint cannot be reached, refuses, or fails.
         MoveRequestedError
-            If the process wants the stream elsewhere meanwhile.
+            If the stream was asked to move meanwhile.
         """
         await self._connect()
         self._in_flight.start()
-        self._send_activations()
+        self._record_transfers()
         data = encode_upstream_request(
             self._request,
             self._context.dialect,
@@ -104,14 +108,16 @@
         self.head = head
 
     async def next_events(self) -> list[Event] | None:
-        """Return the next whole events, or None when the stream is complete.
+        """Return the next complete events, or None at the end of the stream.
+
+        The list is empty if the bytes received complete no event.
 
         Raises
         ------
         AttemptFailedError
-            If the stream broke off.
+            If the connection broke, or the stream ended inside an event.
         MoveRequestedError
-            If the process wants the stream elsewhere, or it is silent.
+            If the stream was asked to move, or no event came in time.
         """
         assert self._conn is not None
         timeouts = self._timeouts
@@ -125,8 +131,8 @@
             except ReadTimeoutError as exc:
                 if self._request.remaining_s <= 0:
                     raise
-                # It may be dead or slow. Whoever can go on without it is asked
-                # first: a slow one has the next event ready soon.
+                # The path may be dead or merely slow. Try another path before
+                # leaving this one: a slow path may soon have the next event.
                 self._context.prober.request_probes(self.endpoint_ids)
                 self._timeouts.back_off()
                 raise MoveRequestedError(
@@ -136,12 +142,14 @@
             return self._splitter.feed(data)
         if self._splitter.partial:
             raise AttemptFailedError(
-                RetryReason.BROKEN, "ended inside an event", may_have_run=True
+                RetryReason.BROKEN,
+                "the stream ended inside an event",
+                may_have_run=True,
             )
         return None
 
     def record_event(self) -> None:
-        """Note that an event came that the caller did not have."""
+        """Record that an event arrived that the caller does not have yet."""
         if not self.active_stream.first_event_seen:
             latency_s = time.monotonic() - self._sent_at
             self._context.directory.record_success(
@@ -153,7 +161,7 @@
         self.active_stream.record_event(self._timeouts.event_gap_silence_limit_s)
 
     async def release_connection(self) -> None:
-        """Give the connection back after a complete answer."""
+        """Return the connection to the pool after a complete response."""
         assert self._conn is not None
         assert self.head is not None
         conn, self._conn = self._conn, None
@@ -162,7 +170,7 @@
         )
 
     async def close(self) -> None:
-        """End the run, wherever it is."""
+        """End the attempt in any state; may be called more than once."""
         self._in_flight.finish()
         if self._conn is not None:
             await self._conn.close()
@@ -178,7 +186,7 @@
                 RetryReason.NOT_SENT, str(exc), may_have_run=False, suspects=[first.id]
             ) from exc
 
-    def _send_activations(self) -> None:
+    def _record_transfers(self) -> None:
         request = self._request
         if request.service.model is not None:
             self._context.data_centre_links.record_transfer(
@@ -194,12 +202,13 @@
             echoed = head.header(name)
             if echoed is None or echoed == self._request.id:
                 return head
-            # A late answer to an earlier request of this connection.
+            # Skip a late response to an earlier request on this connection.
             while await self._conn.read_chunk(deadline) is not None:
                 continue
 
     @contextmanager
     def _translate_errors(self) -> Iterator[None]:
+        """Probe the path and raise ``AttemptFailedError`` on transport errors."""
         try:
             yield
         except TransportError as exc:
@@ -214,7 +223,7 @@
             ) from exc
 
     def _check_head(self, head: ResponseHead) -> None:
-        """Raise ``AttemptFailedError`` unless the answer is a stream to relay."""
+        """Raise ``AttemptFailedError`` unless a stream follows that can be relayed."""
         names = self._context.dialect.headers
         not_executed = head.header(names.not_executed) is not None or head.status == 421
         if not_executed:
@@ -229,15 +238,20 @@
             )
         if head.header(names.signature) is None:
             raise AttemptFailedError(
-                RetryReason.FAILED, "no signature", may_have_run=True
+                RetryReason.FAILED, "the response has no signature", may_have_run=True
             )
         if head.header(b"content-encoding") is not None:
             raise AttemptFailedError(
-                RetryReason.FAILED, "the body is encoded", may_have_run=True
+                RetryReason.FAILED,
+                "the response has a content encoding",
+                may_have_run=True,
             )
 
     def _report_refusal(self, head: ResponseHead) -> str:
-        """Note which endpoint of the path refused, and return its id."""
+        """Record which endpoint on the path refused the request; return its id.
+
+        The first endpoint is assumed if the response names none on the path.
+        """
         failed_address = decode_id(
             head.header(self._context.dialect.headers.failed_endpoint) or b""
         )
--- a/packages/router/src/hemlockhall_router/request/events.py
+++ b/packages/router/src/hemlockhall_router/request/events.py
@@ -1,4 +1,4 @@
-"""Events of a stream (text/event-stream), taken whole."""
+"""Splitting of a server-sent event stream (text/event-stream) into events."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 @dataclass(slots=True, frozen=True)
 class Event:
-    """An event as sent, with its id."""
+    """An event as received, including the blank line that ends it, and its id."""
 
     raw: bytes
     id: bytes | None
 
 
 class EventSplitter:
-    """Collects bytes and returns whole events."""
+    """Buffers received bytes and returns complete events."""
 
     def __init__(self) -> None:
         self._pending = b""
 
     def feed(self, data: bytes) -> list[Event]:
-        """Return the events that are complete now."""
+        """Add received bytes; return the events that they complete."""
         self._pending += data
         events: list[Event] = []
         while True:
@@ -35,7 +35,7 @@
 
     @property
     def partial(self) -> bool:
-        """Whether the bytes so far stop inside an event."""
+        """Whether the buffer holds an incomplete event."""
         return bool(self._pending.strip())
 
 
--- a/packages/router/src/hemlockhall_router/request/failure.py
+++ b/packages/router/src/hemlockhall_router/request/failure.py
@@ -1,4 +1,4 @@
-"""A try of a request that failed."""
+"""Failure of one attempt of a request."""
 
 from __future__ import annotations
 
@@ -12,11 +12,20 @@
 
 
 class AttemptFailedError(Exception):
-    """One try failed; another may follow.
-
-    ``ran`` tells whether it may have run; ``response`` is the endpoint's own
-    answer if it failed with one; ``suspects`` are the ids of the endpoints
-    that this request had better not use again.
+    """One attempt failed; a retry may follow.
+
+    Parameters
+    ----------
+    reason : RetryReason
+        Label of the retry counter.
+    cause : str
+        Description for the log.
+    may_have_run : bool
+        Whether the endpoint may have executed the request.
+    response : Response, optional
+        The endpoint's own response, if the attempt failed with a complete one.
+    suspects : iterable of str
+        Ids of the endpoints that retries of this request should avoid.
     """
 
     def __init__(
@@ -36,7 +45,7 @@
 
 
 def decode_id(value: bytes) -> str:
-    """Return an id of the wire for a log line."""
+    """Decode an id as sent in a header or event, for a log line."""
     return value.decode("latin-1")
 
 
--- a/packages/router/src/hemlockhall_router/request/plain.py
+++ b/packages/router/src/hemlockhall_router/request/plain.py
@@ -1,4 +1,4 @@
-"""Relaying of requests that have one answer."""
+"""Relaying of requests that get one complete response."""
 
 from __future__ import annotations
 
@@ -27,25 +27,23 @@
     from hemlockhall_router.process.directory import EndpointRecord
     from hemlockhall_router.request.response_writer import ResponseWriter
 
-# Seconds a connection may take to open: far above the delay inside a region,
-# far below the objectives.
+# Far above the network delay within a region, far below the latency objectives.
 CONNECT_TIMEOUT_S = 0.3
-# An idempotent request is sent to another endpoint when one has been silent
-# for this many times its usual latency, but never sooner than the floor.
+# An idempotent request is retried after an endpoint has been silent for this
+# multiple of its average latency, but not before the minimum.
 LATENCY_TIMEOUT_FACTOR = 6.0
 MIN_RESPONSE_TIMEOUT_S = 0.4
-# Endpoints tried that did not run the request; it bounds the work that a
-# refused request makes, since these tries are not limited by the route.
+# Bounds the attempts that were not executed, which the route does not limit.
 MAX_UNEXECUTED_ATTEMPTS = 4
-# Foreign answers skipped on one connection before it is given up.
+# Late responses to earlier requests that are skipped on one connection.
 MAX_STALE_RESPONSES = 3
-# Retry-After where all endpoints are full or none is there, in seconds.
+# Retry-After if endpoints refused the request, and if there is none to use.
 RETRY_AFTER_FULL_S = 0.5
 RETRY_AFTER_NO_ENDPOINT_S = 1.0
 
 
 class PlainRelay:
-    """Relays one request with one answer."""
+    """Relays one request and its response, with retries where the route allows."""
 
     def __init__(
         self, request: RoutedRequest, context: RelayContext, writer: ResponseWriter
@@ -60,7 +58,7 @@
         self._error_response: Response | None = None
 
     async def run(self) -> None:
-        """Send the request until it is answered or given up."""
+        """Send the request until it gets a response or is given up."""
         request = self._request
         while True:
             record = self._context.chooser.choose_endpoint(
@@ -85,7 +83,7 @@
             return
 
     def _handle_failure(self, record: EndpointRecord, exc: AttemptFailedError) -> bool:
-        """Note a failed try; return whether another one may follow."""
+        """Record a failed attempt; return whether a retry may follow."""
         request = self._request
         self._attempted_ids.add(record.endpoint.id)
         self._context.metrics.count_retry(exc.reason)
@@ -118,8 +116,8 @@
             if request.route.retryable:
                 conn = await context.pool.acquire(endpoint.address, connect_deadline)
             else:
-                # A kept connection may be closed by the endpoint just as the
-                # request leaves; nobody could tell then whether it ran.
+                # The endpoint may close an idle connection just as the request is
+                # sent, and it would be unknown whether the request was executed.
                 host, port = endpoint.address
                 conn = await ClientConnection.open(host, port, connect_deadline)
         except NotSentError as exc:
@@ -155,10 +153,10 @@
             echoed = response.head.header(context.dialect.headers.request_id)
             if echoed is None or echoed == request.id:
                 return response
-            # An answer to an earlier request of this connection came late; the
-            # answer to this one follows it.
-            logger.warning("foreign answer skipped", request=decode_id(request.id))
-        raise ConnectionLostError("only answers to other requests came")
+            # A late response to an earlier request on this connection; the response
+            # to this one follows it.
+            logger.warning("stale response skipped", request=decode_id(request.id))
+        raise ConnectionLostError("received only responses to other requests")
 
     def _response_deadline(self, record: EndpointRecord) -> float:
         request = self._request
@@ -175,7 +173,7 @@
     def _check_response(
         self, record: EndpointRecord, response: Response, response_time_s: float
     ) -> Response:
-        """Return the answer to relay, or raise ``AttemptFailedError``."""
+        """Return the response to relay, or raise ``AttemptFailedError``."""
         names = self._context.dialect.headers
         status = response.head.status
         endpoint_id = record.endpoint.id
@@ -189,11 +187,13 @@
             )
         if response.head.header(b"content-encoding") is not None:
             raise AttemptFailedError(
-                RetryReason.FAILED, "the body is encoded", may_have_run=True
+                RetryReason.FAILED,
+                "the response has a content encoding",
+                may_have_run=True,
             )
         if status < 300 and response.head.header(names.signature) is None:
             raise AttemptFailedError(
-                RetryReason.FAILED, "no signature", may_have_run=True
+                RetryReason.FAILED, "the response has no signature", may_have_run=True
             )
         self._context.directory.record_success(endpoint_id, response_time_s)
         self._context.metrics.response_time.record(response_time_s)
@@ -205,7 +205,10 @@
         return response
 
     async def _give_up(self, refusal: RefusalReason) -> None:
-        """Answer at once; 503 only if no try can have run."""
+        """Respond without another attempt.
+
+        The status is 503 only if no attempt can have been executed.
+        """
         request = self._request
         if self._error_response is not None:
             await self._writer.forward(self._error_response)
--- a/packages/router/src/hemlockhall_router/request/reason.py
+++ b/packages/router/src/hemlockhall_router/request/reason.py
@@ -1,4 +1,4 @@
-"""Why requests are refused, fail, or are sent again."""
+"""Reasons of refusals and retries; each value is the label of a counter."""
 
 from __future__ import annotations
 
@@ -6,7 +6,11 @@
 
 
 class RefusalReason(Enum):
-    """Answers of this host's own; the value is the counter's label."""
+    """Why this host answered a request itself, or gave a stream up.
+
+    ``UNCERTAIN`` and ``TIMEOUT`` mean that the request may have run, ``DEADLINE``
+    that its time was over before it ran.
+    """
 
     NO_CONFIGURATION = "no_configuration"
     NO_ROUTE = "no_route"
@@ -23,7 +27,11 @@
 
 
 class RetryReason(Enum):
-    """Why a request went to another endpoint."""
+    """Why an attempt failed, or a stream moved or did not move.
+
+    ``NOT_SENT`` and ``REJECTED`` mean that the request was not executed.
+    ``STAYED`` counts moves that failed: the stream stayed on its path.
+    """
 
     NOT_SENT = "not_sent"
     REJECTED = "rejected"
--- a/packages/router/src/hemlockhall_router/request/relay.py
+++ b/packages/router/src/hemlockhall_router/request/relay.py
@@ -1,4 +1,4 @@
-"""A caller's request, and what relaying it needs."""
+"""What plain and stream relays share: the request, its context, its counts."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
     from hemlockhall_router.version.path import Path
     from hemlockhall_router.version.routing import Customer, Route, Service
 
-# Seconds taken off the time that an endpoint is told, for the way there.
+# Network time to the endpoint, subtracted from the deadline that it is sent.
 TRANSIT_S = 0.005
 
 
 @dataclass(slots=True)
 class RelayContext:
-    """What a relay uses of the process."""
+    """The components of the process that a relay uses."""
 
     dialect: Dialect
     pool: ConnectionPool
@@ -43,7 +43,10 @@
 
 @dataclass(slots=True)
 class RoutedRequest:
-    """A caller's request with its route; deadlines are monotonic seconds."""
+    """A caller's request with its route and service.
+
+    ``id`` is the caller's id of the request, ``deadline`` monotonic seconds.
+    """
 
     head: RequestHead
     body: bytes
@@ -56,7 +59,11 @@
 
     @property
     def token_estimate(self) -> int:
-        """Tokens for which it takes memory at most, or what is usual."""
+        """Tokens that it may occupy in memory.
+
+        Prompt and maximum output if the request states them, else the typical
+        counts of the model; 0 without a model.
+        """
         if self.token_counts is not None:
             return self.token_counts.prompt + self.token_counts.max_output
         model = self.service.model
@@ -79,10 +86,10 @@
     path: Path | None = None,
     resume_after: bytes | None = None,
 ) -> bytes:
-    """Return the request as an endpoint gets it.
+    """Return the encoded request for an endpoint.
 
-    The caller's own copies of headers that this host sets go first: a caller
-    that names a customer or an endpoint itself would act for somebody else.
+    Headers that only this host may set are removed from the caller's request: a
+    caller that sent them could act for another customer or choose its endpoint.
     """
     names = dialect.headers
     replaced = {
@@ -117,9 +124,9 @@
 
 
 class InFlightTracker:
-    """Counts a request and its tokens at the endpoints that it uses.
+    """Counts a request and its tokens in the records of its endpoints.
 
-    A stream is also entered there, so that it is moved if one of them fails.
+    A stream is also registered there, so that it is moved if one of them fails.
     """
 
     def __init__(
@@ -141,7 +148,7 @@
                 self._records.append(record)
 
     def start(self) -> None:
-        """Count the request from now on."""
+        """Begin to count the request."""
         self._prefill_pending = True
         for record in self._records:
             record.in_flight += 1
@@ -154,7 +161,7 @@
         self._started = True
 
     def prefill_done(self) -> None:
-        """Note that its prompt has been read; once is enough."""
+        """Record that the prefill is done; further calls have no effect."""
         if not self._prefill_pending:
             return
         self._prefill_pending = False
@@ -162,13 +169,13 @@
             record.prefill_tokens -= self._tokens
 
     def record_event(self) -> None:
-        """Note that an event came through the endpoints."""
+        """Record that an event arrived through the endpoints."""
         now = time.monotonic()
         for record in self._records:
             record.last_event_at = record.last_local_event_at = now
 
     def finish(self) -> None:
-        """Count it no more; once is enough."""
+        """Stop counting the request; further calls have no effect."""
         if not self._started:
             return
         self.prefill_done()
--- a/packages/router/src/hemlockhall_router/request/response_writer.py
+++ b/packages/router/src/hemlockhall_router/request/response_writer.py
@@ -1,4 +1,4 @@
-"""The answer to a caller."""
+"""Writing of the response to a caller."""
 
 from __future__ import annotations
 
@@ -22,21 +22,25 @@
     )
 
 CLOSE = (b"Connection", b"close")
-# Statuses that promise that the request did not run and never will.
+# Statuses that tell the caller that the request was not and will not be executed.
 NOT_EXECUTED_STATUSES = frozenset((408, 421, 429, 503))
 
 
 class ResponseWriter:
-    """One answer; after ``cut`` the connection cannot be used again.
+    """Writes the response to one request.
+
+    ``close_connection`` tells whether the connection is closed after the response;
+    it cannot be used again if the response is not ``complete``. ``status`` is 0
+    until the head is sent.
 
     Parameters
     ----------
     reader : CallerReader
         The caller's connection.
     head : RequestHead
-        The request that is answered.
+        The request that is responded to.
     closing : callable
-        Returns whether the connection should end after this answer.
+        Returns whether the connection should be closed after this response.
     """
 
     def __init__(
@@ -55,7 +59,7 @@
         return self.status != 0
 
     async def forward(self, response: Response) -> None:
-        """Send an endpoint's complete answer unchanged."""
+        """Send an endpoint's complete response, without its hop-by-hop headers."""
         headers = _forwarded_headers(response.head.headers)
         headers.append((b"Content-Length", b"%d" % len(response.body)))
         body = b"" if self._head.method == b"HEAD" else response.body
@@ -65,7 +69,7 @@
     async def local_reply(
         self, status: int, text: str, retry_after_s: float | None = None
     ) -> None:
-        """Send an answer of this host's own."""
+        """Send a plain-text response of this host itself."""
         body = text.encode() + b"\n"
         headers: Headers = [
             (b"Content-Type", b"text/plain; charset=utf-8"),
@@ -85,11 +89,11 @@
         await self._send(head.status, head.reason, headers, b"")
 
     async def send_events(self, data: bytes) -> None:
-        """Send whole events of a stream."""
+        """Send complete events of a stream as one chunk."""
         await self._reader.send(b"%x\r\n%b\r\n" % (len(data), data))
 
     async def end_stream(self) -> None:
-        """End a stream that is complete."""
+        """End a complete stream."""
         await self._reader.send(b"0\r\n\r\n")
         self.complete = True
 
--- a/packages/router/src/hemlockhall_router/request/stream.py
+++ b/packages/router/src/hemlockhall_router/request/stream.py
@@ -1,4 +1,4 @@
-"""Relaying of streams, which go on elsewhere when an endpoint fails."""
+"""Relaying of streams, which continue on another path if an endpoint fails."""
 
 from __future__ import annotations
 
@@ -27,32 +27,32 @@
     from hemlockhall_router.version.endpoint import Endpoint
     from hemlockhall_router.version.path import Path
 
-# Seconds after the last path was lost for which new requests wait for one: layers
-# of a lost endpoint are soon loaded elsewhere, and a refused caller comes back
-# later. Those that come later are refused at once: nobody knows when there is one.
+# How long after the last path was lost new requests wait for one. The layers of a
+# lost endpoint are usually loaded elsewhere by then, sooner than a refused caller
+# would retry. Later requests are refused: it is unknown when a path returns.
 PATH_RESTORE_WAIT_S = 1.3
-# Part of the objective for which a request waits at any rate; an endpoint that
-# failed a moment ago is often back by then.
+# Fraction of the latency objective for which every request waits for a path: an
+# endpoint that failed just before is often back by then.
 MIN_PATH_WAIT_FRACTION = 0.12
 POLL_INTERVAL_S = 0.02
-# The same for a stream that has waited for a while.
+# The interval between searches for a path grows while a stream waits.
 MAX_POLL_INTERVAL_S = 0.1
 POLL_BACKOFF_FACTOR = 1.2
-# Longest pauses for which a stream that is still served waits until another
-# endpoint takes it; after that the caller does better with what it has.
+# Timeout of a move of a stream that is still served, as a multiple of the
+# maximum event gap. After it the stream does better to stay.
 MOVE_TIMEOUT_FACTOR = 1.0
-# Objectives after which a request that endpoints refused for want of room is
-# refused, and told when to come back. Its caller leaves after four of them; one
-# that is held until then learns nothing, and comes back later than it could.
+# Multiple of the latency objective after which a request that endpoints refused for
+# lack of memory gets a 503 with Retry-After. Callers give up after four objectives;
+# one that is kept waiting until then gets no Retry-After and retries later.
 CAPACITY_WAIT_FACTOR = 2.0
-# Tries for one request; it bounds the work that it makes. A stream that the caller
-# has a part of goes on after them, but more slowly.
+# Bounds the work for one request. A stream of which the caller has events continues
+# after them, one attempt per interval.
 MAX_ATTEMPTS = 12
 EXTRA_ATTEMPT_INTERVAL_S = 0.5
 
 
 class StreamRelay:
-    """Relays one stream."""
+    """Relays one stream, in several attempts if need be."""
 
     def __init__(
         self, request: RoutedRequest, context: RelayContext, writer: ResponseWriter
@@ -124,7 +124,7 @@
                 await self._move(exc)
 
     async def _forward_events(self, attempt: Attempt) -> None:
-        """Pass events on until the stream is complete."""
+        """Forward events to the caller until the stream is complete."""
         writer = self._writer
         while True:
             events = await attempt.next_events()
@@ -142,19 +142,21 @@
             self._last_id = events[-1].id or self._last_id
         if not writer.started:
             raise AttemptFailedError(
-                RetryReason.BROKEN, "ended without an event", may_have_run=True
+                RetryReason.BROKEN,
+                "the stream ended without an event",
+                may_have_run=True,
             )
         await writer.end_stream()
         self._log_end(attempt.path)
         await attempt.release_connection()
 
     async def _move(self, move_request: MoveRequestedError) -> None:
-        """Go on at another endpoint if one takes the stream; else stay.
+        """Move to another path if one accepts the stream; stay otherwise.
 
-        The endpoint that leaves or is slow still serves. Were it left first, a
-        stream that finds no room elsewhere would be lost, and with a whole
-        endpoint's streams on the way at once many find none. What the old run
-        sends meanwhile stays unread, so that the two never mix.
+        The present endpoints are draining or slow but still serve the stream. If it
+        left them first and found no room elsewhere, it would be lost, which is
+        likely when all streams of an endpoint move at once. Events that the old
+        attempt sends meanwhile are not read, so that the two never mix.
         """
         old = self._attempt
         assert old is not None
@@ -187,10 +189,10 @@
             await (old if self._attempt is new else new).close()
 
     def _abandon_silent(self, move_request: MoveRequestedError) -> None:
-        """Raise ``AttemptFailedError`` for a silent run that nobody else takes.
+        """Raise ``AttemptFailedError`` for a silent stream that no other path takes.
 
-        Its endpoint may take it anew: only a new request shows whether the
-        connection is dead. Without a repeat left it is better to wait on.
+        A retry at the same endpoint shows whether only the connection is dead. If
+        the retry budget is exhausted, or the stream is not silent, it waits on.
         """
         if move_request.reason is not RetryReason.SILENT or not self._acquire_retry():
             return
@@ -200,11 +202,11 @@
         ) from move_request
 
     async def _wait_for_retry(self) -> bool:
-        """Take a repeat from the budget.
+        """Take a retry from the budget; return whether there was one.
 
-        Repeats come back as time passes. A stream that the caller has a part
-        of waits for one: given up, it is lost, or the caller asks for all of
-        it again.
+        The budget is refilled over time, and a stream of which the caller has
+        events waits for that: if it were given up, its events would be lost or the
+        caller would request all of them again.
         """
         while not self._acquire_retry():
             if not self._writer.started or self._request.remaining_s <= 0:
@@ -217,7 +219,10 @@
         return self._context.retry_budget.try_acquire(self._request.service.name)
 
     def _may_add_endpoint(self, path: Path) -> bool:
-        """Return whether the route allows one more endpoint than this path's."""
+        """Return whether the route allows one endpoint more than were used.
+
+        Those used are where the request ran and the first endpoint of ``path``.
+        """
         used = {*self._executed_at, path.first_endpoint.id}
         return len(used) < self._request.route.max_attempts
 
@@ -232,7 +237,7 @@
         )
 
     def _handle_failure(self, exc: AttemptFailedError) -> bool:
-        """Note a failed try; return whether another one may follow."""
+        """Record a failed attempt; return whether a retry may follow."""
         request, attempt = self._request, self._attempt
         assert attempt is not None
         self._context.metrics.count_retry(exc.reason)
@@ -248,10 +253,10 @@
         return True
 
     async def _find_path(self) -> Path | None:
-        """Return a path, waiting a moment for one to come back.
+        """Return a path, or None if there is none after a wait.
 
-        After that moment an endpoint that failed this request is better than
-        none: it may have restarted, and waiting first keeps the tries apart.
+        After a short wait, endpoints that failed this request are used again: they
+        may have restarted, and the wait spaces out the attempts.
         """
         request, chooser = self._request, self._context.chooser
         started_at = time.monotonic()
@@ -287,11 +292,11 @@
             interval_s = min(MAX_POLL_INTERVAL_S, interval_s * POLL_BACKOFF_FACTOR)
 
     def _path_wait_expired(self) -> bool:
-        """Return whether the wait for a path is over.
+        """Return whether to stop waiting for a path.
 
-        A new request does not wait if there has been no path for long. A
-        stream that the caller has a part of waits as long as the caller does:
-        giving it up loses that.
+        A new request stops once there has been no path for
+        ``PATH_RESTORE_WAIT_S``. A stream of which the caller has events waits
+        until its deadline, since giving it up would lose them.
         """
         if self._writer.started:
             return False
@@ -301,7 +306,7 @@
         )
 
     def _capacity_wait_expired(self) -> bool:
-        """Return whether a refused request has waited long enough for room."""
+        """Return whether a request that was refused has waited too long for memory."""
         if self._writer.started or not self._rejected:
             return False
         return (
@@ -310,11 +315,11 @@
         )
 
     def _allowed_first_endpoints(self) -> frozenset[str] | None:
-        """Return where the request may be sent if its route's limit is reached.
+        """Return the ids of the only endpoints that may receive the request.
 
-        It ran at an endpoint that received it. Once as many as the route
-        allows did, and have not ended, it goes on only at one of these, with other
-        endpoints behind it on the path.
+        None means that any may. The route limits at how many endpoints a request
+        runs; the first endpoint of a path counts. When that many may still run it,
+        it continues only at one of them, with other endpoints after it on the path.
         """
         active_ids = []
         for endpoint_id, endpoint in self._executed_at.items():
@@ -344,7 +349,7 @@
         )
 
     def _drop_delivered(self, events: list[Event]) -> list[Event]:
-        """Leave out events that the caller has; ids only increase."""
+        """Return the events that the caller does not have; ids only increase."""
         undelivered = []
         last = _event_number(self._last_id)
         for event in events:
@@ -378,7 +383,7 @@
             tries=self._attempts_sent,
         )
         if writer.started:
-            # The caller must see that the stream is not complete.
+            # Closing without the last chunk shows that the stream is incomplete.
             writer.close_connection = True
             return
         if self._may_have_run:
--- a/packages/router/src/hemlockhall_router/request/timeouts.py
+++ b/packages/router/src/hemlockhall_router/request/timeouts.py
@@ -1,4 +1,4 @@
-"""How long a stream waits for its next event."""
+"""Silence limits and timeouts of a stream, derived from its route."""
 
 from __future__ import annotations
 
@@ -8,24 +8,28 @@
 if TYPE_CHECKING:
     from hemlockhall_router.request.relay import RoutedRequest
 
-# Part of the objective without a first event, and of the longest pause without
-# another one, after which the endpoints of the path are asked whether they
-# live. What is left suffices to ask and to read the prompt elsewhere in time.
+# Silence after which the endpoints on the path are probed, as a fraction of the
+# latency objective (first event) or of the maximum event gap (later events). The
+# rest is time enough for the probe and for the prefill on another path.
 FIRST_EVENT_SILENCE_FRACTION = 0.3
 EVENT_GAP_SILENCE_FRACTION = 0.25
-# Objectives and pauses after which a stream goes on elsewhere although all of
-# its endpoints answer. Slow endpoints are not left sooner: what they have read
-# would be read again, which makes all of them slower.
+# Multiples of the same limits after which a stream moves although all of its
+# endpoints answer probes. Moving sooner would repeat the prefill elsewhere, and
+# the added load would make all endpoints slower.
 FIRST_EVENT_TIMEOUT_FACTOR = 5.0
 EVENT_GAP_TIMEOUT_FACTOR = 5.0
-# Each silence doubles the patience.
+# Factor on the timeouts after each silence or lost connection.
 TIMEOUT_BACKOFF_FACTOR = 2.0
-# Seconds assumed where the route states no objective or pause.
+# Latency objective and maximum event gap of a route that states none.
 DEFAULT_LIMIT_S = 2.0
 
 
 class StreamTimeouts:
-    """The waits of one stream, from its route; times in seconds."""
+    """Silence limits and timeouts of one stream.
+
+    A request that may not run twice has no silence limit, and its timeout is the
+    deadline of the request: waiting is all that can be done for it.
+    """
 
     def __init__(self, request: RoutedRequest) -> None:
         self._request = request
@@ -34,29 +38,32 @@
         self.max_event_gap_s = request.route.max_event_gap_s or DEFAULT_LIMIT_S
 
     def back_off(self) -> None:
-        """Wait longer from now on: a silence was no failure, or met two paths."""
+        """Lengthen the timeouts.
+
+        If silence recurs, either it was no failure, or it has hit two paths.
+        """
         self._backoff *= TIMEOUT_BACKOFF_FACTOR
 
     @property
     def first_event_silence_limit_s(self) -> float:
-        """Silence before the first event that puts a path in doubt."""
+        """Silence before the first event after which the path is probed."""
         if not self._request.route.retryable:
             return float("inf")
         return self.latency_objective_s * FIRST_EVENT_SILENCE_FRACTION
 
     @property
     def event_gap_silence_limit_s(self) -> float:
-        """Silence between two events that puts a path in doubt."""
+        """Silence between two events after which the path is probed."""
         if not self._request.route.retryable:
             return float("inf")
         return self.max_event_gap_s * EVENT_GAP_SILENCE_FRACTION
 
     def first_event_deadline(self) -> float:
-        """Return until when the first event is awaited."""
+        """Return the monotonic time until which to wait for the first event."""
         return self._deadline(self.latency_objective_s * FIRST_EVENT_TIMEOUT_FACTOR)
 
     def next_event_deadline(self) -> float:
-        """Return until when the next event is awaited."""
+        """Return the monotonic time until which to wait for the next event."""
         return self._deadline(self.max_event_gap_s * EVENT_GAP_TIMEOUT_FACTOR)
 
     def _deadline(self, timeout_s: float) -> float:
--- a/packages/router/src/hemlockhall_router/request/times.py
+++ b/packages/router/src/hemlockhall_router/request/times.py
@@ -1,4 +1,4 @@
-"""When the events of a stream came."""
+"""Timing of the events of a stream."""
 
 from __future__ import annotations
 
@@ -6,10 +6,11 @@
 
 
 class StreamTimes:
-    """Times of one stream in seconds since its request arrived.
+    """Event times of one stream, in seconds since its request arrived.
 
-    ``first_s`` is the first event, ``pause_s`` the longest pause between two
-    events and ``pause_after_s`` its end.
+    ``first_event_s`` is the time of the first event, 0.0 before it.
+    ``longest_event_gap_s`` is the longest time between two events, which ended
+    ``longest_event_gap_end_s`` after the request arrived.
     """
 
     def __init__(self) -> None:
@@ -25,7 +26,7 @@
         return time.monotonic() - self._started_at
 
     def record_event(self) -> None:
-        """Note that events came."""
+        """Record that one or more events arrived."""
         now_s = time.monotonic() - self._started_at
         if not self.first_event_s:
             self.first_event_s = now_s
