--- a/tests/router/test_plain.py
+++ b/tests/router/test_plain.py
@@ -1,4 +1,4 @@
-"""Requests with one answer: what may be repeated, what a status promises."""
+"""Requests with one response: which are retried, and which status they get."""
 
 from __future__ import annotations
 
@@ -20,61 +20,63 @@
 ]
 
 
-async def answer(arrival: ReceivedRequest) -> None:
-    await arrival.answer(200, arrival.endpoint.name.encode())
+async def respond(request: ReceivedRequest) -> None:
+    await request.answer(200, request.endpoint.name.encode())
 
 
-async def refuse(arrival: ReceivedRequest) -> None:
-    await arrival.refuse()
+async def refuse(request: ReceivedRequest) -> None:
+    await request.refuse()
 
 
-async def reset(arrival: ReceivedRequest) -> None:
-    await arrival.reset()
+async def reset(request: ReceivedRequest) -> None:
+    await request.reset()
 
 
-async def fail(arrival: ReceivedRequest) -> None:
-    await arrival.answer(500, b"broken")
+async def respond_500(request: ReceivedRequest) -> None:
+    await request.answer(500, b"broken")
 
 
 class TestRoutes:
-    async def test_the_longest_prefix_wins(self) -> None:
+    async def test_longest_prefix_wins(self) -> None:
         async with router_harness(ROUTES) as harness:
-            await harness.start_endpoint("d1", answer)
-            await harness.start_endpoint("a1", answer, "annex")
+            await harness.start_endpoint("d1", respond)
+            await harness.start_endpoint("a1", respond, "annex")
             assert (await harness.request("/read/x")).body == b"d1"
             assert (await harness.request("/read/far/x?y=/book/")).body == b"a1"
             assert (await harness.request("/read/farther")).body == b"d1"
 
     async def test_unknown_paths_and_hosts_get_404(self) -> None:
         async with router_harness(ROUTES) as harness:
-            await harness.start_endpoint("d1", answer)
+            await harness.start_endpoint("d1", respond)
             assert (await harness.request("/read")).head.status == 404
             assert (await harness.request("/other/read/")).head.status == 404
 
-    async def test_the_target_arrives_as_sent(self) -> None:
+    async def test_target_is_forwarded_unchanged(self) -> None:
         async with router_harness(ROUTES) as harness:
-            desk = await harness.start_endpoint("d1", answer)
+            endpoint = await harness.start_endpoint("d1", respond)
             target = "/read/a%2Fb//c/../d?q=%7e&r=[1]"
             await harness.request(target, method="POST", body=b"\0body")
-            assert desk.received[0].head.target == target.encode()
-            assert desk.received[0].body == b"\0body"
+            assert endpoint.received[0].head.target == target.encode()
+            assert endpoint.received[0].body == b"\0body"
 
 
 class TestHeaders:
-    async def test_a_caller_cannot_name_customer_endpoint_or_path(self) -> None:
-        """A caller that sends the headers this host sets would act for another
-        customer or choose its endpoint; its copies go, ours come."""
+    async def test_caller_cannot_set_customer_endpoint_or_path(self) -> None:
+        """A caller could act for another customer or choose its endpoint with headers
+        that this host sets; its own are replaced."""
         async with router_harness(ROUTES, keys={"k1": "choir"}) as harness:
-            desk = await harness.start_endpoint("d1", answer)
-            own = {
+            endpoint = await harness.start_endpoint("d1", respond)
+            headers = {
                 "Api-Key": "k1",
                 "Customer": "other",
                 "Expected-Endpoint": "d9",
                 "Path": "d9:0-8",
                 "X-Else": "stays",
             }
-            assert (await harness.request("/read/x", headers=own)).head.status == 200
-            head = desk.received[0].head
+            assert (
+                await harness.request("/read/x", headers=headers)
+            ).head.status == 200
+            head = endpoint.received[0].head
             customers = [v for k, v in head.headers if k.lower() == b"customer"]
             assert customers == [b"choir"]
             assert head.header(b"expected-endpoint") == b"d1"
@@ -82,29 +84,29 @@
             assert head.header(b"api-key") is None
             assert head.header(b"x-else") == b"stays"
 
-    async def test_the_time_left_shrinks(self) -> None:
+    async def test_forwarded_deadline_is_shorter(self) -> None:
         async with router_harness(ROUTES) as harness:
-            desk = await harness.start_endpoint("d1", answer)
+            endpoint = await harness.start_endpoint("d1", respond)
             await harness.request("/read/x", headers={"Deadline-Ms": "900"})
-            assert 0 < int(desk.received[0].header("deadline-ms") or "") < 900
+            assert 0 < int(endpoint.received[0].header("deadline-ms") or "") < 900
 
 
-class TestRepeating:
-    async def test_a_refused_booking_runs_elsewhere(self) -> None:
+class TestRetries:
+    async def test_refused_non_idempotent_request_is_retried(self) -> None:
         async with router_harness(ROUTES) as harness:
             await harness.start_endpoint("d1", refuse)
-            desk = await harness.start_endpoint("d2", answer)
+            endpoint = await harness.start_endpoint("d2", respond)
             for number in range(6):
                 key = f"b{number}"
                 response = await harness.request(
                     "/book/x", method="POST", request_id=key
                 )
                 assert response.body == b"d2"
-            assert len(desk.received) == 6
+            assert len(endpoint.received) == 6
 
-    async def test_a_broken_booking_is_not_repeated(self) -> None:
-        """The endpoint resets the connection after it has read the booking:
-        it may have run, so it is sent nowhere else and nothing is promised."""
+    async def test_broken_non_idempotent_request_is_not_retried(self) -> None:
+        """The endpoint resets the connection after reading the request, which may have
+        run: it is not sent again, and the response has no Retry-After."""
         async with router_harness(ROUTES) as harness:
             first = await harness.start_endpoint("d1", reset)
             second = await harness.start_endpoint("d2", reset)
@@ -113,11 +115,11 @@
             assert response.head.header(b"retry-after") is None
             assert len(first.received) + len(second.received) == 1
 
-    async def test_an_unreachable_endpoint_did_not_run_a_booking(self) -> None:
+    async def test_unsent_non_idempotent_request_is_retried(self) -> None:
         async with router_harness(ROUTES) as harness:
-            gone = ScriptedEndpoint("d1", answer, free_port())
-            harness.register(gone, "desk")
-            await harness.start_endpoint("d2", answer)
+            unreachable = ScriptedEndpoint("d1", respond, free_port())
+            harness.register(unreachable, "desk")
+            await harness.start_endpoint("d2", respond)
             await harness.wait_until(
                 lambda: "d1" in harness.routers[0].directory.records
             )
@@ -128,32 +130,34 @@
                 )
                 assert response.body == b"d2"
 
-    async def test_a_broken_read_is_repeated(self) -> None:
+    async def test_broken_idempotent_request_is_retried(self) -> None:
         async with router_harness(ROUTES) as harness:
             await harness.start_endpoint("d1", reset)
-            await harness.start_endpoint("d2", answer)
+            await harness.start_endpoint("d2", respond)
             for number in range(4):
                 response = await harness.request("/read/x", request_id=f"r{number}")
                 assert response.body == b"d2"
 
-    async def test_a_read_is_tried_as_often_as_its_route_says(self) -> None:
+    async def test_attempts_do_not_exceed_the_limit_of_the_route(self) -> None:
         async with router_harness(ROUTES) as harness:
-            desks = [await harness.start_endpoint(f"d{n}", fail) for n in range(4)]
+            endpoints = [
+                await harness.start_endpoint(f"d{n}", respond_500) for n in range(4)
+            ]
             response = await harness.request("/read/x")
             assert (response.head.status, response.body) == (500, b"broken")
-            assert sum(len(desk.received) for desk in desks) == 2
+            assert sum(len(endpoint.received) for endpoint in endpoints) == 2
 
-    async def test_a_failed_booking_keeps_its_answer(self) -> None:
+    async def test_failed_non_idempotent_request_keeps_its_response(self) -> None:
         async with router_harness(ROUTES) as harness:
-            desk = await harness.start_endpoint("d1", fail)
+            endpoint = await harness.start_endpoint("d1", respond_500)
             response = await harness.request("/book/x", method="POST")
             assert (response.head.status, response.body) == (500, b"broken")
             assert response.head.header(b"signature") == b"d1"
-            assert len(desk.received) == 1
+            assert len(endpoint.received) == 1
 
 
-class TestPromises:
-    async def test_full_endpoints_mean_503_with_a_time_to_come_back(self) -> None:
+class TestGivingUp:
+    async def test_full_endpoints_mean_503_with_retry_after(self) -> None:
         async with router_harness(ROUTES) as harness:
             await harness.start_endpoint("d1", refuse)
             await harness.start_endpoint("d2", refuse)
@@ -162,114 +166,113 @@
             assert float(response.head.header(b"retry-after") or b"0") > 0
             assert response.head.header(b"signature") is None
 
-    async def test_a_service_without_endpoints_means_503(self) -> None:
+    async def test_service_without_endpoints_means_503(self) -> None:
         async with router_harness(ROUTES) as harness:
             response = await harness.request("/book/x", method="POST")
             assert response.head.status == 503
             assert response.head.header(b"retry-after") is not None
 
-    async def test_a_silent_booking_ends_in_504_at_its_timeout(self) -> None:
-        async def silent(arrival: ReceivedRequest) -> None:
+    async def test_silent_non_idempotent_request_gets_504_at_its_timeout(self) -> None:
+        async def never_respond(request: ReceivedRequest) -> None:
             await anyio.sleep_forever()
 
         routes = [RouteRow("/book/", "once", "desk", timeout_s=0.3)]
         async with router_harness(routes) as harness:
-            await harness.start_endpoint("d1", silent)
+            await harness.start_endpoint("d1", never_respond)
             response = await harness.request("/book/x", method="POST")
             assert response.head.status == 504
 
 
-class TestWholeAnswers:
-    async def test_a_cut_answer_never_looks_complete(self) -> None:
-        """An endpoint breaks off inside the body of a booking's answer; the
-        caller must not take the part for the whole."""
+class TestResponses:
+    async def test_broken_response_never_looks_complete(self) -> None:
+        """The endpoint resets inside the body, and the caller must not take the part
+        for a complete response."""
 
-        async def cut(arrival: ReceivedRequest) -> None:
+        async def reset_inside_body(request: ReceivedRequest) -> None:
             head = b"HTTP/1.1 200 OK\r\nsignature: d1\r\ncontent-length: 9\r\n\r\n"
-            await arrival.stream.send(head + b"half")
-            await arrival.reset()
+            await request.stream.send(head + b"half")
+            await request.reset()
 
         async with router_harness(ROUTES) as harness:
-            await harness.start_endpoint("d1", cut)
+            await harness.start_endpoint("d1", reset_inside_body)
             assert (await harness.request("/book/x", method="POST")).head.status == 502
 
-    async def test_an_answer_without_a_length_ends_with_its_connection(self) -> None:
-        async def unframed(arrival: ReceivedRequest) -> None:
+    async def test_response_without_length_ends_with_its_connection(self) -> None:
+        async def unframed(request: ReceivedRequest) -> None:
             head = b"HTTP/1.1 200 OK\r\nsignature: d1\r\n\r\n"
-            await arrival.stream.send(head + b"all of it")
-            await arrival.close()
+            await request.stream.send(head + b"all of it")
+            await request.close()
 
         async with router_harness(ROUTES) as harness:
             await harness.start_endpoint("d1", unframed)
             response = await harness.request("/book/x", method="POST")
             assert (response.head.status, response.body) == (200, b"all of it")
 
-    async def test_an_answer_without_a_length_that_is_reset_is_cut(self) -> None:
-        async def unframed(arrival: ReceivedRequest) -> None:
+    async def test_reset_response_without_length_is_not_complete(self) -> None:
+        async def unframed(request: ReceivedRequest) -> None:
             head = b"HTTP/1.1 200 OK\r\nsignature: d1\r\n\r\n"
-            await arrival.stream.send(head + b"part")
+            await request.stream.send(head + b"part")
             await anyio.sleep(0.05)
-            await arrival.reset()
+            await request.reset()
 
         async with router_harness(ROUTES) as harness:
             await harness.start_endpoint("d1", unframed)
             assert (await harness.request("/book/x", method="POST")).head.status == 502
 
-    async def test_an_unsigned_success_is_not_relayed(self) -> None:
-        async def unsigned(arrival: ReceivedRequest) -> None:
+    async def test_unsigned_success_is_not_relayed(self) -> None:
+        async def unsigned(request: ReceivedRequest) -> None:
             head = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n"
-            await arrival.stream.send(head + b"hi")
+            await request.stream.send(head + b"hi")
 
         async with router_harness(ROUTES) as harness:
             await harness.start_endpoint("d1", unsigned)
             assert (await harness.request("/book/x", method="POST")).head.status == 502
 
-    async def test_an_answer_to_another_request_is_skipped(self) -> None:
-        """An endpoint answers a read twice on a kept connection. The second
-        copy stands where the next request's answer is due; it names the
-        first request and belongs to nobody."""
+    async def test_response_to_an_earlier_request_is_skipped(self) -> None:
+        """An endpoint responds twice to a request on a pooled connection; the second
+        copy must not be taken for the response to the next request."""
 
-        async def twice(arrival: ReceivedRequest) -> None:
-            key = arrival.header("request-id") or ""
-            await arrival.answer(200, b"mine " + key.encode())
-            if arrival.header("request-id") == "r0":
+        async def respond_twice(request: ReceivedRequest) -> None:
+            key = request.header("request-id") or ""
+            await request.answer(200, b"mine " + key.encode())
+            if request.header("request-id") == "r0":
                 await anyio.sleep(0.05)
-                await arrival.answer(200, b"again")
+                await request.answer(200, b"again")
 
         async with router_harness(ROUTES) as harness:
-            await harness.start_endpoint("d1", twice)
+            await harness.start_endpoint("d1", respond_twice)
             for number in range(3):
                 response = await harness.request("/read/x", request_id=f"r{number}")
                 assert response.body == b"mine r%d" % number
                 await anyio.sleep(0.1)
 
 
-class TestLeavingCallers:
-    async def test_the_endpoint_is_told_by_the_closed_connection(self) -> None:
+class TestCallerDisconnects:
+    async def test_endpoint_connection_is_closed_when_the_caller_leaves(self) -> None:
         started = anyio.Event()
 
-        async def slow(arrival: ReceivedRequest) -> None:
+        async def wait_for_disconnect(request: ReceivedRequest) -> None:
             started.set()
-            await arrival.reader.wait_disconnect()
-            arrival.endpoint.disconnects += 1
-            arrival.ended = True
+            await request.reader.wait_disconnect()
+            request.endpoint.disconnects += 1
+            request.ended = True
 
         async with router_harness(ROUTES) as harness:
-            desk = await harness.start_endpoint("d1", slow)
+            endpoint = await harness.start_endpoint("d1", wait_for_disconnect)
             conn = await harness.connect()
             await conn.send(caller_text("/read/x"), time.monotonic() + 5)
             with anyio.fail_after(5):
                 await started.wait()
             await conn.close()
-            await harness.wait_until(lambda: desk.disconnects == 1)
+            await harness.wait_until(lambda: endpoint.disconnects == 1)
 
 
 class TestKeys:
-    async def test_a_withdrawn_key_gets_401(self) -> None:
+    async def test_withdrawn_key_gets_401(self) -> None:
         async with router_harness(
             ROUTES, keys={"k1": "choir", "k2": "parish"}
         ) as harness:
-            await harness.start_endpoint("d1", answer)
+            await harness.start_endpoint("d1", respond)
             key = {"Api-Key": "k1"}
             assert (await harness.request("/read/x", headers=key)).head.status == 200
             assert (await harness.request("/read/x")).head.status == 401
--- a/tests/router/test_stream.py
+++ b/tests/router/test_stream.py
@@ -1,4 +1,4 @@
-"""Streams: whole events, in order, also when an endpoint fails."""
+"""Streams: complete events in order and once, also when endpoints fail."""
 
 from __future__ import annotations
 
@@ -27,64 +27,64 @@
     RouteRow("/draft/", "stream", "pool", resumable=True),
     RouteRow("/once/", "stream", "pool"),
 ]
-EVENTS = 6
-WHOLE = b"".join(event_text(number) for number in range(1, EVENTS + 1))
-ALL = {"service": "pool", "layers": (0, 8), "accelerator": "big"}
+EVENT_COUNT = 6
+ALL_EVENTS = b"".join(event_text(number) for number in range(1, EVENT_COUNT + 1))
+ALL_LAYERS = {"service": "pool", "layers": (0, 8), "accelerator": "big"}
 
 
-def first_event(arrival: ReceivedRequest) -> int:
-    return int(arrival.header("resume-after") or 0) + 1
+def next_event_number(request: ReceivedRequest) -> int:
+    return int(request.header("resume-after") or 0) + 1
 
 
-async def write(arrival: ReceivedRequest) -> None:
-    await arrival.begin()
-    for number in range(first_event(arrival), EVENTS + 1):
-        await arrival.event(number)
-    await arrival.end()
+async def send_remaining_events(request: ReceivedRequest) -> None:
+    await request.begin()
+    for number in range(next_event_number(request), EVENT_COUNT + 1):
+        await request.event(number)
+    await request.end()
 
 
-def cut_once(broken: anyio.Event) -> RequestHandler:
-    """Return a script that breaks its first stream off, and writes the next."""
+def reset_first_stream(may_reset: anyio.Event) -> RequestHandler:
+    """Return a handler that resets its first stream and completes the next."""
 
-    async def cut(arrival: ReceivedRequest) -> None:
-        await arrival.begin()
-        await arrival.event(1)
-        await broken.wait()
-        await arrival.reset()
+    async def reset_midway(request: ReceivedRequest) -> None:
+        await request.begin()
+        await request.event(1)
+        await may_reset.wait()
+        await request.reset()
 
-    scripts = iter((cut, write))
+    handlers = iter((reset_midway, send_remaining_events))
 
-    async def script(arrival: ReceivedRequest) -> None:
-        await next(scripts)(arrival)
+    async def handler(request: ReceivedRequest) -> None:
+        await next(handlers)(request)
 
-    return script
+    return handler
 
 
 @asynccontextmanager
-async def leaving_endpoint(
-    script: RequestHandler, other_script: RequestHandler
+async def draining_endpoint(
+    handler: RequestHandler, other_handler: RequestHandler
 ) -> AsyncIterator[tuple[list[bytes], ScriptedEndpoint, ScriptedEndpoint]]:
-    """Let a stream run at one endpoint, add another, and let the first leave.
+    """Run a stream on one endpoint, add another, and drain the first.
 
-    Yields the callers' answers, the other endpoint and the first one.
+    Yields the bodies that the caller received, the other endpoint and the first.
     """
     routes = [RouteRow("/draft/", "stream", "pool", resumable=True, pause_s=60.0)]
     async with router_harness(routes) as harness:
-        first = await harness.start_endpoint("p1", script, **ALL)
+        first = await harness.start_endpoint("p1", handler, **ALL_LAYERS)
         directory = harness.routers[0].directory
         bodies: list[bytes] = []
 
-        async def ask() -> None:
+        async def send_request() -> None:
             bodies.append((await harness.request("/draft/x", method="POST")).body)
 
         async with anyio.create_task_group() as group:
-            group.start_soon(ask)
+            group.start_soon(send_request)
             record = directory.records["p1"]
             await harness.wait_until(lambda: record.active_streams)
             await harness.wait_until(
-                lambda: all(run.first_event_seen for run in record.active_streams)
+                lambda: all(stream.first_event_seen for stream in record.active_streams)
             )
-            other = await harness.start_endpoint("p2", other_script, **ALL)
+            other = await harness.start_endpoint("p2", other_handler, **ALL_LAYERS)
             harness.register(
                 first, "pool", draining=True, layers=(0, 8), accelerator="big"
             )
@@ -95,472 +95,497 @@
 
 
 class TestWholeStreams:
-    async def test_a_stream_arrives_as_sent_with_its_path(self) -> None:
+    async def test_stream_is_forwarded_unchanged_with_its_path(self) -> None:
         async with router_harness(ROUTES) as harness:
-            pool = await harness.start_endpoint("p1", write, **ALL)
+            endpoint = await harness.start_endpoint(
+                "p1", send_remaining_events, **ALL_LAYERS
+            )
             response = await harness.request("/draft/x", method="POST", body=b"prompt")
-            assert response.body == WHOLE
+            assert response.body == ALL_EVENTS
             assert response.head.header(b"signature") == b"p1"
-            assert pool.received[0].header("path") == "p1:0-8"
+            assert endpoint.received[0].header("path") == "p1:0-8"
 
-    async def test_layers_of_two_endpoints_make_a_path(self) -> None:
+    async def test_two_endpoints_form_a_path_over_all_layers(self) -> None:
         async with router_harness(ROUTES) as harness:
             first = await harness.start_endpoint(
-                "p1", write, **{**ALL, "layers": (0, 5)}
+                "p1", send_remaining_events, **{**ALL_LAYERS, "layers": (0, 5)}
+            )
+            await harness.start_endpoint(
+                "p2", send_remaining_events, **{**ALL_LAYERS, "layers": (3, 8)}
             )
-            await harness.start_endpoint("p2", write, **{**ALL, "layers": (3, 8)})
             await harness.wait_until(
                 lambda: harness.routers[0].directory.records["p2"].endpoint.layers
             )
-            assert (await harness.request("/draft/x", method="POST")).body == WHOLE
+            assert (await harness.request("/draft/x", method="POST")).body == ALL_EVENTS
             path = first.received[0].header("path") or ""
-            spans = [part.partition(":")[2].split("-") for part in path.split()]
+            stage_ranges = [
+                stage_text.partition(":")[2].split("-") for stage_text in path.split()
+            ]
             reached = 0
-            for first_layer, end in spans:
+            for first_layer, end in stage_ranges:
                 assert int(first_layer) == reached
                 reached = int(end)
             assert reached == 8
 
-    async def test_without_a_path_the_caller_learns_when_to_come_back(self) -> None:
+    async def test_response_without_a_path_has_retry_after(self) -> None:
         async with router_harness(ROUTES) as harness:
-            half = {**ALL, "layers": (0, 4), "accelerator": "small"}
-            await harness.start_endpoint("p1", write, **half)
+            lower_half = {**ALL_LAYERS, "layers": (0, 4), "accelerator": "small"}
+            await harness.start_endpoint("p1", send_remaining_events, **lower_half)
             response = await harness.request("/draft/x", method="POST")
             assert response.head.status == 503
             assert response.head.header(b"retry-after") is not None
 
 
 class TestRefusals:
-    async def test_a_request_without_room_is_not_held_to_its_deadline(self) -> None:
-        """All endpoints refuse a request for want of memory, again and again.
-        It was sent to them every half second until its deadline, when its
-        caller had left; it must be refused while the caller still listens."""
+    async def test_request_without_memory_is_refused_before_its_deadline(self) -> None:
+        """A request that all endpoints refuse for lack of memory was retried every
+        0.5 s until its deadline, when its caller had left."""
 
-        async def refuse(arrival: ReceivedRequest) -> None:
-            port = arrival.endpoint.port
-            await arrival.refuse(503, f"at-fault: 127.0.0.1:{port}\r\n")
+        async def refuse(request: ReceivedRequest) -> None:
+            port = request.endpoint.port
+            await request.refuse(503, f"at-fault: 127.0.0.1:{port}\r\n")
 
         route = RouteRow("/draft/", "stream", "pool", resumable=True, timeout_s=60.0)
         async with router_harness([route]) as harness:
-            pool = await harness.start_endpoint("p1", refuse, **ALL)
+            endpoint = await harness.start_endpoint("p1", refuse, **ALL_LAYERS)
             response = await harness.request("/draft/x", method="POST")
             assert response.head.status == 503
             assert response.head.header(b"retry-after") is not None
-            # It is left out for 0.5 s after a refusal; the objective is 0.3 s.
-            assert len(pool.received) <= 4
+            # The backoff after a refusal is 0.5 s, the latency objective 0.3 s.
+            assert len(endpoint.received) <= 4
 
 
 class TestResuming:
-    async def test_a_stream_cut_inside_an_event_goes_on_elsewhere(self) -> None:
-        """The first endpoint resets after two and a half events. The caller
-        has two; the second endpoint is asked for what follows them, and the
-        half event never reaches the caller."""
-
-        async def cut(arrival: ReceivedRequest) -> None:
-            await arrival.begin()
-            await arrival.event(1)
-            await arrival.event(2)
-            await arrival.raw(event_text(3)[:7])
+    async def test_stream_reset_inside_an_event_resumes_after_the_last(self) -> None:
+        """The endpoint resets inside the third event: the caller must not get that
+        part, and the next endpoint is asked to resume after event 2."""
+
+        async def reset_midway(request: ReceivedRequest) -> None:
+            await request.begin()
+            await request.event(1)
+            await request.event(2)
+            await request.raw(event_text(3)[:7])
             await anyio.sleep(0.05)
-            await arrival.reset()
+            await request.reset()
 
         async with router_harness(ROUTES) as harness:
-            await harness.start_endpoint("p1", cut, **ALL)
-            response_task: list[bytes] = []
+            await harness.start_endpoint("p1", reset_midway, **ALL_LAYERS)
+            bodies: list[bytes] = []
 
-            async def ask() -> None:
+            async def send_request() -> None:
                 response = await harness.request("/draft/x", method="POST")
                 assert response.head.header(b"signature") == b"p1"
-                response_task.append(response.body)
+                bodies.append(response.body)
 
             async with anyio.create_task_group() as group:
-                group.start_soon(ask)
+                group.start_soon(send_request)
                 await harness.wait_until(
                     lambda: harness.routers[0].directory.records["p1"].in_flight
                 )
-                other = await harness.start_endpoint("p2", write, **ALL)
-            assert response_task == [WHOLE]
+                other = await harness.start_endpoint(
+                    "p2", send_remaining_events, **ALL_LAYERS
+                )
+            assert bodies == [ALL_EVENTS]
             assert other.received[0].header("resume-after") == "2"
 
-    async def test_events_that_the_caller_has_are_left_out(self) -> None:
-        """The second endpoint starts from the beginning although it was asked
-        to go on; repeated events would reach the caller twice."""
+    async def test_events_are_not_delivered_twice(self) -> None:
+        """On the retry the endpoint starts from event 1, though asked to resume."""
 
-        async def cut(arrival: ReceivedRequest) -> None:
-            await arrival.begin()
+        async def reset_midway(request: ReceivedRequest) -> None:
+            await request.begin()
             for number in (1, 2, 3):
-                await arrival.event(number)
+                await request.event(number)
             await anyio.sleep(0.05)
-            await arrival.reset()
+            await request.reset()
 
-        async def whole(arrival: ReceivedRequest) -> None:
-            await arrival.begin()
-            await arrival.raw(WHOLE)
-            await arrival.end()
+        async def send_all_events(request: ReceivedRequest) -> None:
+            await request.begin()
+            await request.raw(ALL_EVENTS)
+            await request.end()
 
-        scripts = iter((cut, whole))
+        handlers = iter((reset_midway, send_all_events))
 
-        async def script(arrival: ReceivedRequest) -> None:
-            await next(scripts)(arrival)
+        async def handler(request: ReceivedRequest) -> None:
+            await next(handlers)(request)
 
         async with router_harness(ROUTES) as harness:
-            await harness.start_endpoint("p1", script, **ALL)
-            assert (await harness.request("/draft/x", method="POST")).body == WHOLE
-
-    async def test_a_stream_runs_on_as_many_endpoints_as_its_route_says(self) -> None:
-        """Three endpoints each hold all layers, and each breaks off after one
-        more event. The route allows two: the stream goes back to one of them
-        and never reaches the third."""
-
-        async def one_more(arrival: ReceivedRequest) -> None:
-            await arrival.begin()
-            first = first_event(arrival)
-            await arrival.event(first)
-            if first < EVENTS:
+            await harness.start_endpoint("p1", handler, **ALL_LAYERS)
+            assert (await harness.request("/draft/x", method="POST")).body == ALL_EVENTS
+
+    async def test_stream_does_not_exceed_its_endpoint_limit(self) -> None:
+        """Three endpoints each reset after one more event; the route allows two of
+        them, so the stream returns to these and never reaches the third."""
+
+        async def send_one_event(request: ReceivedRequest) -> None:
+            await request.begin()
+            first = next_event_number(request)
+            await request.event(first)
+            if first < EVENT_COUNT:
                 await anyio.sleep(0.02)
-                await arrival.reset()
+                await request.reset()
                 return
-            await arrival.end()
+            await request.end()
 
         async with router_harness(ROUTES) as harness:
-            pool = [
-                await harness.start_endpoint(f"p{n}", one_more, **ALL) for n in range(3)
+            endpoints = [
+                await harness.start_endpoint(f"p{n}", send_one_event, **ALL_LAYERS)
+                for n in range(3)
             ]
-            assert (await harness.request("/draft/x", method="POST")).body == WHOLE
-            assert sum(len(endpoint.received) for endpoint in pool) == EVENTS
-            assert sum(1 for endpoint in pool if endpoint.received) == 2
-
-    async def test_an_endpoint_that_seems_down_counts_as_used(self) -> None:
-        """A stream leaves its first endpoint, which does not answer when asked
-        how it is, but is there and still runs it. The second one breaks off
-        too. The route allows two; a third endpoint must not get the stream."""
-
-        async def stall(arrival: ReceivedRequest) -> None:
-            await arrival.begin()
-            await arrival.event(first_event(arrival))
-            await arrival.reader.wait_disconnect()
-            arrival.ended = True
-
-        async def cut(arrival: ReceivedRequest) -> None:
-            if len(arrival.endpoint.received) > 1:
-                await write(arrival)
+            assert (await harness.request("/draft/x", method="POST")).body == ALL_EVENTS
+            assert sum(len(endpoint.received) for endpoint in endpoints) == EVENT_COUNT
+            assert sum(1 for endpoint in endpoints if endpoint.received) == 2
+
+    async def test_endpoint_marked_down_counts_toward_the_limit(self) -> None:
+        """The first endpoint answers no probe but still runs the stream, and the
+        second resets: a third would exceed the route's limit of two."""
+
+        async def stall(request: ReceivedRequest) -> None:
+            await request.begin()
+            await request.event(next_event_number(request))
+            await request.reader.wait_disconnect()
+            request.ended = True
+
+        async def reset_midway(request: ReceivedRequest) -> None:
+            if len(request.endpoint.received) > 1:
+                await send_remaining_events(request)
                 return
-            await arrival.begin()
-            await arrival.event(first_event(arrival))
+            await request.begin()
+            await request.event(next_event_number(request))
             await anyio.sleep(0.02)
-            await arrival.reset()
+            await request.reset()
 
-        fixed = {**ALL, "accelerator": "unplanned"}
+        unplanned = {**ALL_LAYERS, "accelerator": "unplanned"}
         async with router_harness(ROUTES) as harness:
             directory = harness.routers[0].directory
-            pool = [await harness.start_endpoint("p0", stall, **fixed)]
+            endpoints = [await harness.start_endpoint("p0", stall, **unplanned)]
             bodies: list[bytes] = []
 
-            async def ask() -> None:
+            async def send_request() -> None:
                 bodies.append((await harness.request("/draft/x", method="POST")).body)
 
             async with anyio.create_task_group() as group:
-                group.start_soon(ask)
+                group.start_soon(send_request)
                 record = directory.records["p0"]
                 await harness.wait_until(
-                    lambda: any(run.first_event_seen for run in record.active_streams)
+                    lambda: any(
+                        stream.first_event_seen for stream in record.active_streams
+                    )
+                )
+                endpoints.append(
+                    await harness.start_endpoint("p1", reset_midway, **unplanned)
+                )
+                endpoints.append(
+                    await harness.start_endpoint("p2", reset_midway, **unplanned)
                 )
-                pool.append(await harness.start_endpoint("p1", cut, **fixed))
-                pool.append(await harness.start_endpoint("p2", cut, **fixed))
                 directory.set_down("p0", down=True)
-            assert bodies == [WHOLE]
-            assert sum(1 for endpoint in pool if endpoint.received) == 2
+            assert bodies == [ALL_EVENTS]
+            assert sum(1 for endpoint in endpoints if endpoint.received) == 2
 
-    async def test_an_endpoint_whose_entry_is_gone_counts_as_used(self) -> None:
-        """Guards against a third run while the first endpoint leaves without a word."""
+    async def test_endpoint_without_an_entry_counts_toward_the_limit(self) -> None:
+        """The first endpoint's entry is removed without draining while it still runs
+        the stream: a third endpoint would exceed the route's limit of two."""
         may_end = anyio.Event()
 
-        async def serve(arrival: ReceivedRequest) -> None:
-            await arrival.begin()
-            await arrival.event(first_event(arrival))
+        async def serve(request: ReceivedRequest) -> None:
+            await request.begin()
+            await request.event(next_event_number(request))
             await may_end.wait()
-            await arrival.reset()
+            await request.reset()
 
-        async def cut(arrival: ReceivedRequest) -> None:
-            if len(arrival.endpoint.received) > 1:
-                await write(arrival)
+        async def reset_midway(request: ReceivedRequest) -> None:
+            if len(request.endpoint.received) > 1:
+                await send_remaining_events(request)
                 return
-            await arrival.begin()
-            await arrival.event(first_event(arrival))
+            await request.begin()
+            await request.event(next_event_number(request))
             may_end.set()
             await anyio.sleep(0.02)
-            await arrival.reset()
+            await request.reset()
 
         routes = [RouteRow("/draft/", "stream", "pool", resumable=True, pause_s=60.0)]
-        fixed = {**ALL, "accelerator": "unplanned"}
+        unplanned = {**ALL_LAYERS, "accelerator": "unplanned"}
         async with router_harness(routes) as harness:
             directory = harness.routers[0].directory
-            pool = [await harness.start_endpoint("p0", serve, **fixed)]
+            endpoints = [await harness.start_endpoint("p0", serve, **unplanned)]
             bodies: list[bytes] = []
 
-            async def ask() -> None:
+            async def send_request() -> None:
                 bodies.append((await harness.request("/draft/x", method="POST")).body)
 
             async with anyio.create_task_group() as group:
-                group.start_soon(ask)
+                group.start_soon(send_request)
                 record = directory.records["p0"]
                 await harness.wait_until(
-                    lambda: any(run.first_event_seen for run in record.active_streams)
+                    lambda: any(
+                        stream.first_event_seen for stream in record.active_streams
+                    )
+                )
+                endpoints.append(
+                    await harness.start_endpoint("p1", reset_midway, **unplanned)
+                )
+                endpoints.append(
+                    await harness.start_endpoint("p2", reset_midway, **unplanned)
                 )
-                pool.append(await harness.start_endpoint("p1", cut, **fixed))
-                pool.append(await harness.start_endpoint("p2", cut, **fixed))
                 harness.store.remove(Table.ENDPOINTS, "p0")
                 await harness.wait_until(lambda: "p0" not in directory.records)
-            assert bodies == [WHOLE]
-            assert sum(1 for endpoint in pool if endpoint.received) == 2
-
-    async def test_a_stream_that_may_only_go_back_survives_one_refusal(self) -> None:
-        """The route allows one endpoint. It breaks the stream off after two
-        events, refuses the first resumption for want of room, and has room a
-        moment later. The caller's connection was cut beside events that the
-        endpoint could have gone on with."""
-
-        async def cut(arrival: ReceivedRequest) -> None:
-            await arrival.begin()
-            await arrival.event(1)
-            await arrival.event(2)
+            assert bodies == [ALL_EVENTS]
+            assert sum(1 for endpoint in endpoints if endpoint.received) == 2
+
+    async def test_stream_limited_to_one_endpoint_survives_a_refusal(self) -> None:
+        """The only allowed endpoint resets the stream, refuses the first retry for
+        lack of memory and accepts the second; the stream was given up instead."""
+
+        async def reset_midway(request: ReceivedRequest) -> None:
+            await request.begin()
+            await request.event(1)
+            await request.event(2)
             await anyio.sleep(0.05)
-            await arrival.reset()
+            await request.reset()
 
-        async def refuse(arrival: ReceivedRequest) -> None:
-            port = arrival.endpoint.port
-            await arrival.refuse(503, f"at-fault: 127.0.0.1:{port}\r\n")
+        async def refuse(request: ReceivedRequest) -> None:
+            port = request.endpoint.port
+            await request.refuse(503, f"at-fault: 127.0.0.1:{port}\r\n")
 
-        scripts = iter((cut, refuse, write))
+        handlers = iter((reset_midway, refuse, send_remaining_events))
 
-        async def script(arrival: ReceivedRequest) -> None:
-            await next(scripts)(arrival)
+        async def handler(request: ReceivedRequest) -> None:
+            await next(handlers)(request)
 
         routes = [RouteRow("/draft/", "stream", "pool", tries=1, resumable=True)]
         async with router_harness(routes) as harness:
-            await harness.start_endpoint("p1", script, **ALL)
-            assert (await harness.request("/draft/x", method="POST")).body == WHOLE
+            await harness.start_endpoint("p1", handler, **ALL_LAYERS)
+            assert (await harness.request("/draft/x", method="POST")).body == ALL_EVENTS
 
-    async def test_a_stream_that_may_not_be_resumed_does_not_look_complete(
+    async def test_broken_non_resumable_stream_does_not_look_complete(
         self,
     ) -> None:
-        async def cut(arrival: ReceivedRequest) -> None:
-            await arrival.begin()
-            await arrival.event(1)
+        async def reset_midway(request: ReceivedRequest) -> None:
+            await request.begin()
+            await request.event(1)
             await anyio.sleep(0.05)
-            await arrival.reset()
+            await request.reset()
 
         async with router_harness(ROUTES) as harness:
-            pool = await harness.start_endpoint("p1", cut, **ALL)
+            endpoint = await harness.start_endpoint("p1", reset_midway, **ALL_LAYERS)
             with pytest.raises(ConnectionLostError):
                 await harness.request("/once/x", method="POST")
-            assert len(pool.received) == 1
+            assert len(endpoint.received) == 1
 
-    async def test_a_rejected_stream_runs_elsewhere(self) -> None:
-        async def reject(arrival: ReceivedRequest) -> None:
-            port = arrival.endpoint.port
-            await arrival.refuse(503, f"at-fault: 127.0.0.1:{port}\r\n")
+    async def test_refused_stream_runs_on_another_endpoint(self) -> None:
+        async def reject(request: ReceivedRequest) -> None:
+            port = request.endpoint.port
+            await request.refuse(503, f"at-fault: 127.0.0.1:{port}\r\n")
 
         async with router_harness(ROUTES) as harness:
-            await harness.start_endpoint("p1", reject, **ALL)
-            await harness.start_endpoint("p2", write, **ALL)
+            await harness.start_endpoint("p1", reject, **ALL_LAYERS)
+            await harness.start_endpoint("p2", send_remaining_events, **ALL_LAYERS)
             for number in range(4):
                 key = f"s{number}"
                 response = await harness.request(
                     "/once/x", method="POST", request_id=key
                 )
-                assert response.body == WHOLE
+                assert response.body == ALL_EVENTS
 
-    async def test_a_silent_stream_goes_on_elsewhere(self) -> None:
-        """The endpoint stops in the middle without closing, as one does whose
-        successor on the path is dead."""
+    async def test_silent_stream_is_resumed(self) -> None:
+        """The endpoint stops sending without closing, as it does when the next
+        endpoint on the path is dead."""
 
-        async def stall(arrival: ReceivedRequest) -> None:
-            await arrival.begin()
-            await arrival.event(1)
-            await arrival.reader.wait_disconnect()
-            arrival.ended = True
+        async def stall(request: ReceivedRequest) -> None:
+            await request.begin()
+            await request.event(1)
+            await request.reader.wait_disconnect()
+            request.ended = True
 
-        scripts = iter((stall, write))
+        handlers = iter((stall, send_remaining_events))
 
-        async def script(arrival: ReceivedRequest) -> None:
-            await next(scripts)(arrival)
+        async def handler(request: ReceivedRequest) -> None:
+            await next(handlers)(request)
 
         async with router_harness(ROUTES) as harness:
-            pool = await harness.start_endpoint("p1", script, **ALL)
-            assert (await harness.request("/draft/x", method="POST")).body == WHOLE
-            assert pool.received[1].header("resume-after") == "1"
+            endpoint = await harness.start_endpoint("p1", handler, **ALL_LAYERS)
+            assert (await harness.request("/draft/x", method="POST")).body == ALL_EVENTS
+            assert endpoint.received[1].header("resume-after") == "1"
 
 
 class TestMoving:
-    async def test_a_stream_stays_where_no_repeat_is_left(self) -> None:
-        """An endpoint leaves while a stream runs there, and the budget of
-        repeats is spent. The endpoint still serves: moving the stream broke it
-        off, since it could not be sent anywhere else."""
-        go_on = anyio.Event()
-
-        async def slow(arrival: ReceivedRequest) -> None:
-            await arrival.begin()
-            await arrival.event(1)
-            await go_on.wait()
-            for number in range(2, EVENTS + 1):
-                await arrival.event(number)
-            await arrival.end()
+    async def test_stream_is_not_moved_without_retry_budget(self) -> None:
+        """A draining endpoint still serves a stream while the retry budget is
+        exhausted. Moving it broke it off, as it could be sent nowhere else."""
+        may_continue = anyio.Event()
+
+        async def pause_then_finish(request: ReceivedRequest) -> None:
+            await request.begin()
+            await request.event(1)
+            await may_continue.wait()
+            for number in range(2, EVENT_COUNT + 1):
+                await request.event(number)
+            await request.end()
 
         routes = [RouteRow("/draft/", "stream", "pool", resumable=True, pause_s=60.0)]
         async with router_harness(routes) as harness:
-            pool = await harness.start_endpoint("p1", slow, **ALL)
+            endpoint = await harness.start_endpoint(
+                "p1", pause_then_finish, **ALL_LAYERS
+            )
             router = harness.routers[0]
             router.budget.constant = 0.0
             bodies: list[bytes] = []
 
-            async def ask() -> None:
+            async def send_request() -> None:
                 bodies.append((await harness.request("/draft/x", method="POST")).body)
 
             async with anyio.create_task_group() as group:
-                group.start_soon(ask)
+                group.start_soon(send_request)
                 record = router.directory.records["p1"]
                 await harness.wait_until(lambda: record.active_streams)
                 harness.register(
-                    pool, "pool", draining=True, layers=(0, 8), accelerator="big"
+                    endpoint, "pool", draining=True, layers=(0, 8), accelerator="big"
                 )
                 await harness.wait_until(lambda: record.next_move_deadline is not None)
                 record.next_move_deadline = 0.0
                 router.directory.process_deadlines()
                 await anyio.sleep(0.1)
-                go_on.set()
-            assert bodies == [WHOLE]
-
-    async def test_a_stream_stays_where_its_route_allows_no_other(self) -> None:
-        """An endpoint leaves while a stream runs there, and the route allows
-        one endpoint. Moving the stream broke it off: it could go back to the
-        leaving endpoint only, which takes no new requests."""
-        go_on = anyio.Event()
-
-        async def slow(arrival: ReceivedRequest) -> None:
-            await arrival.begin()
-            await arrival.event(1)
-            await go_on.wait()
-            for number in range(2, EVENTS + 1):
-                await arrival.event(number)
-            await arrival.end()
+                may_continue.set()
+            assert bodies == [ALL_EVENTS]
+
+    async def test_stream_is_not_moved_at_its_endpoint_limit(self) -> None:
+        """The route allows one endpoint, which drains. Moving the stream broke it
+        off, as only that endpoint was allowed and it takes no new requests."""
+        may_continue = anyio.Event()
+
+        async def pause_then_finish(request: ReceivedRequest) -> None:
+            await request.begin()
+            await request.event(1)
+            await may_continue.wait()
+            for number in range(2, EVENT_COUNT + 1):
+                await request.event(number)
+            await request.end()
 
         route = RouteRow("/draft/", "stream", "pool", tries=1, resumable=True)
         route.pause_s = 60.0
         async with router_harness([route]) as harness:
-            pool = await harness.start_endpoint("p1", slow, **ALL)
+            endpoint = await harness.start_endpoint(
+                "p1", pause_then_finish, **ALL_LAYERS
+            )
             directory = harness.routers[0].directory
             bodies: list[bytes] = []
 
-            async def ask() -> None:
+            async def send_request() -> None:
                 bodies.append((await harness.request("/draft/x", method="POST")).body)
 
             async with anyio.create_task_group() as group:
-                group.start_soon(ask)
+                group.start_soon(send_request)
                 record = directory.records["p1"]
                 await harness.wait_until(lambda: record.active_streams)
-                other = await harness.start_endpoint("p2", write, **ALL)
+                other = await harness.start_endpoint(
+                    "p2", send_remaining_events, **ALL_LAYERS
+                )
                 harness.register(
-                    pool, "pool", draining=True, layers=(0, 8), accelerator="big"
+                    endpoint, "pool", draining=True, layers=(0, 8), accelerator="big"
                 )
                 await harness.wait_until(lambda: record.next_move_deadline is not None)
                 record.next_move_deadline = 0.0
                 directory.process_deadlines()
                 await anyio.sleep(0.1)
-                go_on.set()
-            assert bodies == [WHOLE]
+                may_continue.set()
+            assert bodies == [ALL_EVENTS]
             assert not other.received
 
-    async def test_a_stream_that_broke_off_waits_for_a_path(self) -> None:
-        """For longer than new requests would wait there has been no path, and
-        then the endpoint of a running stream breaks it off. A path is back a
-        moment later; giving the stream up at once lost what the caller had."""
-        broken = anyio.Event()
+    async def test_broken_stream_waits_for_a_path(self) -> None:
+        """A stream breaks after longer without a path than new requests wait; one
+        returns soon after. Giving the stream up at once lost the caller's events."""
+        may_reset = anyio.Event()
         route = RouteRow("/draft/", "stream", "pool", resumable=True, pause_s=60.0)
         async with router_harness([route]) as harness:
-            await harness.start_endpoint("p1", cut_once(broken), **ALL)
+            await harness.start_endpoint(
+                "p1", reset_first_stream(may_reset), **ALL_LAYERS
+            )
             record = harness.routers[0].directory.records["p1"]
             bodies: list[bytes] = []
 
-            async def ask() -> None:
+            async def send_request() -> None:
                 bodies.append((await harness.request("/draft/x", method="POST")).body)
 
             async with anyio.create_task_group() as group:
-                group.start_soon(ask)
+                group.start_soon(send_request)
                 await harness.wait_until(lambda: record.active_streams)
                 record.backoff_deadline = float("inf")
                 await anyio.sleep(PATH_RESTORE_WAIT_S + 0.2)
-                broken.set()
+                may_reset.set()
                 await anyio.sleep(0.3)
                 record.backoff_deadline = 0.0
-            assert bodies == [WHOLE]
+            assert bodies == [ALL_EVENTS]
 
-    async def test_a_begun_stream_is_not_given_up_while_no_path_is_there(self) -> None:
-        """Guards against closing streams whose layers are away for seconds."""
-        broken = anyio.Event()
+    async def test_started_stream_is_not_given_up_without_a_path(self) -> None:
+        """A stream was closed when its layers were unavailable for seconds."""
+        may_reset = anyio.Event()
         route = RouteRow("/draft/", "stream", "pool", resumable=True, pause_s=60.0)
         async with router_harness([route]) as harness:
-            await harness.start_endpoint("p1", cut_once(broken), **ALL)
+            await harness.start_endpoint(
+                "p1", reset_first_stream(may_reset), **ALL_LAYERS
+            )
             record = harness.routers[0].directory.records["p1"]
             bodies: list[bytes] = []
 
-            async def ask() -> None:
+            async def send_request() -> None:
                 bodies.append((await harness.request("/draft/x", method="POST")).body)
 
             async with anyio.create_task_group() as group:
-                group.start_soon(ask)
+                group.start_soon(send_request)
                 await harness.wait_until(lambda: record.active_streams)
                 await harness.wait_until(
-                    lambda: all(run.first_event_seen for run in record.active_streams)
+                    lambda: all(
+                        stream.first_event_seen for stream in record.active_streams
+                    )
                 )
                 record.backoff_deadline = float("inf")
-                broken.set()
+                may_reset.set()
                 await anyio.sleep(PATH_RESTORE_WAIT_S * 2)
                 record.backoff_deadline = 0.0
-            assert bodies == [WHOLE]
-
-
-class TestHandover:
-    async def test_a_stream_stays_where_it_is_served_if_the_next_refuses(self) -> None:
-        """An endpoint leaves while a stream runs there; the other one has no
-        room. The caller's connection was cut beside events that the leaving
-        endpoint still sent: all streams there were broken off at once, and
-        those that found no room elsewhere had lost their place."""
-        go_on = anyio.Event()
-
-        async def slow(arrival: ReceivedRequest) -> None:
-            await arrival.begin()
-            await arrival.event(1)
-            await go_on.wait()
-            for number in range(2, EVENTS + 1):
-                await arrival.event(number)
-            await arrival.end()
-
-        async def refuse(arrival: ReceivedRequest) -> None:
-            port = arrival.endpoint.port
-            await arrival.refuse(503, f"at-fault: 127.0.0.1:{port}\r\n")
-
-        async with leaving_endpoint(slow, refuse) as (bodies, other, _):
+            assert bodies == [ALL_EVENTS]
+
+
+class TestMovingWhileServed:
+    async def test_stream_stays_on_draining_endpoint_if_next_refuses(self) -> None:
+        """The other endpoint has no memory left. Leaving the draining endpoint
+        first lost streams that it still served and no other accepted."""
+        may_continue = anyio.Event()
+
+        async def pause_then_finish(request: ReceivedRequest) -> None:
+            await request.begin()
+            await request.event(1)
+            await may_continue.wait()
+            for number in range(2, EVENT_COUNT + 1):
+                await request.event(number)
+            await request.end()
+
+        async def refuse(request: ReceivedRequest) -> None:
+            port = request.endpoint.port
+            await request.refuse(503, f"at-fault: 127.0.0.1:{port}\r\n")
+
+        async with draining_endpoint(pause_then_finish, refuse) as (bodies, other, _):
             with anyio.fail_after(WAIT_S):
                 while not other.received:
                     await anyio.sleep(0.005)
             await anyio.sleep(0.1)
-            go_on.set()
-        assert bodies == [WHOLE]
-
-    async def test_the_first_endpoint_is_left_when_the_next_has_begun(self) -> None:
-        """The same, with room at the other endpoint: the stream goes on there
-        after the last event delivered, and the first connection is closed so
-        that the leaving endpoint stops its work."""
-
-        async def slow(arrival: ReceivedRequest) -> None:
-            await arrival.begin()
-            await arrival.event(1)
-            await arrival.reader.wait_disconnect()
-            arrival.ended = True
-            arrival.endpoint.disconnects += 1
-
-        async with leaving_endpoint(slow, write) as (bodies, other, first):
+            may_continue.set()
+        assert bodies == [ALL_EVENTS]
+
+    async def test_move_closes_the_old_connection_after_the_new_starts(self) -> None:
+        """The stream resumes after the last delivered event, and the draining
+        endpoint is disconnected so that it stops working on the stream."""
+
+        async def stall(request: ReceivedRequest) -> None:
+            await request.begin()
+            await request.event(1)
+            await request.reader.wait_disconnect()
+            request.ended = True
+            request.endpoint.disconnects += 1
+
+        async with draining_endpoint(stall, send_remaining_events) as (
+            bodies,
+            other,
+            first,
+        ):
             with anyio.fail_after(WAIT_S):
                 while not bodies:
                     await anyio.sleep(0.005)
@@ -568,105 +593,110 @@
             with anyio.fail_after(WAIT_S):
                 while not first.disconnects:
                     await anyio.sleep(0.005)
-        assert bodies == [WHOLE]
+        assert bodies == [ALL_EVENTS]
 
-    async def test_a_slow_stream_is_not_cut_for_an_endpoint_that_refuses(self) -> None:
-        """An endpoint lives but pauses for longer than a stream waits; the
-        other one has no room. The host cut the stream off and could not go on
-        anywhere, though the slow endpoint had the next event ready soon."""
+    async def test_slow_stream_stays_if_the_next_endpoint_refuses(self) -> None:
+        """An endpoint pauses past the timeout and the other has no memory left. The
+        stream was cut, though the slow endpoint soon had the next event."""
         refused = anyio.Event()
 
-        async def slow(arrival: ReceivedRequest) -> None:
-            await arrival.begin()
-            await arrival.event(1)
+        async def pause_then_finish(request: ReceivedRequest) -> None:
+            await request.begin()
+            await request.event(1)
             await refused.wait()
             await anyio.sleep(0.1)
-            for number in range(2, EVENTS + 1):
-                await arrival.event(number)
-            await arrival.end()
-
-        async def refuse(arrival: ReceivedRequest) -> None:
-            port = arrival.endpoint.port
-            await arrival.refuse(503, f"at-fault: 127.0.0.1:{port}\r\n")
-            if arrival.header("resume-after"):
+            for number in range(2, EVENT_COUNT + 1):
+                await request.event(number)
+            await request.end()
+
+        async def refuse(request: ReceivedRequest) -> None:
+            port = request.endpoint.port
+            await request.refuse(503, f"at-fault: 127.0.0.1:{port}\r\n")
+            if request.header("resume-after"):
                 refused.set()
 
         route = RouteRow("/draft/", "stream", "pool", resumable=True, pause_s=0.05)
-        fixed = {**ALL, "accelerator": "unplanned"}
+        unplanned = {**ALL_LAYERS, "accelerator": "unplanned"}
         async with router_harness([route]) as harness:
-            first = await harness.start_endpoint("p1", slow, **fixed)
-            await harness.start_endpoint("p2", refuse, **fixed)
-            held = harness.routers[0].directory.records
-            held["p2"].backoff_deadline = float("inf")
+            first = await harness.start_endpoint("p1", pause_then_finish, **unplanned)
+            await harness.start_endpoint("p2", refuse, **unplanned)
+            records = harness.routers[0].directory.records
+            records["p2"].backoff_deadline = float("inf")
             bodies: list[bytes] = []
 
-            async def ask() -> None:
+            async def send_request() -> None:
                 bodies.append((await harness.request("/draft/x", method="POST")).body)
 
             async with anyio.create_task_group() as group:
-                group.start_soon(ask)
-                await harness.wait_until(lambda: held["p1"].active_streams)
-                held["p2"].backoff_deadline = 0.0
-            assert bodies == [WHOLE]
+                group.start_soon(send_request)
+                await harness.wait_until(lambda: records["p1"].active_streams)
+                records["p2"].backoff_deadline = 0.0
+            assert bodies == [ALL_EVENTS]
             assert len(first.received) == 1
 
-    async def test_a_broken_stream_waits_for_a_repeat(self) -> None:
-        """A stream breaks off while the budget of repeats is spent; a moment
-        later repeats are left again. Giving the stream up at once lost what
-        the caller had of it, and callers come back on their own then."""
-        broken = anyio.Event()
+    async def test_broken_stream_waits_for_the_retry_budget(self) -> None:
+        """A stream breaks while the retry budget is exhausted for a moment. Giving it
+        up lost the caller's events, and callers then send the request again."""
+        may_reset = anyio.Event()
         route = RouteRow("/draft/", "stream", "pool", resumable=True, pause_s=60.0)
         async with router_harness([route]) as harness:
-            await harness.start_endpoint("p1", cut_once(broken), **ALL)
+            await harness.start_endpoint(
+                "p1", reset_first_stream(may_reset), **ALL_LAYERS
+            )
             budget = harness.routers[0].budget
             constant, budget.constant = budget.constant, 0.0
             bodies: list[bytes] = []
 
-            async def ask() -> None:
+            async def send_request() -> None:
                 bodies.append((await harness.request("/draft/x", method="POST")).body)
 
             async with anyio.create_task_group() as group:
-                group.start_soon(ask)
+                group.start_soon(send_request)
                 record = harness.routers[0].directory.records["p1"]
                 await harness.wait_until(lambda: record.active_streams)
                 await harness.wait_until(
-                    lambda: all(run.first_event_seen for run in record.active_streams)
+                    lambda: all(
+                        stream.first_event_seen for stream in record.active_streams
+                    )
                 )
-                broken.set()
+                may_reset.set()
                 await anyio.sleep(0.3)
                 budget.constant = constant
-            assert bodies == [WHOLE]
-
-    async def test_a_stream_that_may_run_once_is_never_moved(self) -> None:
-        """A stream that may not be resumed runs at an endpoint that leaves, and
-        that does not answer when asked for its state. Sent to the other one it
-        would run twice; broken off, it would be lost though it is served."""
-        go_on = anyio.Event()
-
-        async def slow(arrival: ReceivedRequest) -> None:
-            await arrival.begin()
-            await arrival.event(1)
-            await go_on.wait()
-            for number in range(2, EVENTS + 1):
-                await arrival.event(number)
-            await arrival.end()
+            assert bodies == [ALL_EVENTS]
+
+    async def test_non_resumable_stream_is_never_moved(self) -> None:
+        """The endpoint drains and answers no probe, but still serves the stream. Moved,
+        the request would run twice; cut, it would be lost."""
+        may_continue = anyio.Event()
+
+        async def pause_then_finish(request: ReceivedRequest) -> None:
+            await request.begin()
+            await request.event(1)
+            await may_continue.wait()
+            for number in range(2, EVENT_COUNT + 1):
+                await request.event(number)
+            await request.end()
 
         async with router_harness([RouteRow("/once/", "stream", "pool")]) as harness:
-            first = await harness.start_endpoint("p1", slow, **ALL)
+            first = await harness.start_endpoint("p1", pause_then_finish, **ALL_LAYERS)
             directory = harness.routers[0].directory
             bodies: list[bytes] = []
 
-            async def ask() -> None:
+            async def send_request() -> None:
                 bodies.append((await harness.request("/once/x", method="POST")).body)
 
             async with anyio.create_task_group() as group:
-                group.start_soon(ask)
+                group.start_soon(send_request)
                 record = directory.records["p1"]
                 await harness.wait_until(lambda: record.active_streams)
                 await harness.wait_until(
-                    lambda: all(run.first_event_seen for run in record.active_streams)
+                    lambda: all(
+                        stream.first_event_seen for stream in record.active_streams
+                    )
+                )
+                other = await harness.start_endpoint(
+                    "p2", send_remaining_events, **ALL_LAYERS
                 )
-                other = await harness.start_endpoint("p2", write, **ALL)
                 harness.register(
                     first, "pool", draining=True, layers=(0, 8), accelerator="big"
                 )
@@ -675,63 +705,63 @@
                 directory.process_deadlines()
                 directory.set_down("p1", down=True)
                 await anyio.sleep(0.1)
-                go_on.set()
-            assert bodies == [WHOLE]
+                may_continue.set()
+            assert bodies == [ALL_EVENTS]
             assert len(first.received) == 1
             assert not other.received
 
 
-class TestLeaving:
-    async def test_a_stream_outlives_sigterm(self) -> None:
-        """A stream is under way when the host is told to end: the balancer is
-        told at once, the stream is finished, and its connection closed."""
-        go_on = anyio.Event()
+class TestShutdown:
+    async def test_shutdown_does_not_cut_a_stream(self) -> None:
+        """The host reports not ready at once, but completes the stream before it
+        ends."""
+        may_continue = anyio.Event()
 
-        async def slow(arrival: ReceivedRequest) -> None:
-            await arrival.begin()
-            await arrival.event(1)
-            await go_on.wait()
-            for number in range(2, EVENTS + 1):
-                await arrival.event(number)
-            await arrival.end()
+        async def pause_then_finish(request: ReceivedRequest) -> None:
+            await request.begin()
+            await request.event(1)
+            await may_continue.wait()
+            for number in range(2, EVENT_COUNT + 1):
+                await request.event(number)
+            await request.end()
 
         routes = [RouteRow("/draft/", "stream", "pool", pause_s=60.0)]
         async with router_harness(routes) as harness:
-            await harness.start_endpoint("p1", slow, **ALL)
+            await harness.start_endpoint("p1", pause_then_finish, **ALL_LAYERS)
             conn = await harness.connect()
             deadline = time.monotonic() + 20
             await conn.send(caller_text("/draft/x", "POST"), deadline)
             await conn.read_head(deadline)
             harness.group.start_soon(harness.routers[0].leave)
             await harness.wait_until(lambda: not harness.routers[0].ready)
-            go_on.set()
+            may_continue.set()
             body = b""
             while (part := await conn.read_chunk(deadline)) is not None:
                 body += part
-            assert body == WHOLE
+            assert body == ALL_EVENTS
 
-    async def test_answers_after_sigterm_end_their_connections(self) -> None:
+    async def test_responses_during_shutdown_close_their_connections(self) -> None:
         async with router_harness(ROUTES) as harness:
-            await harness.start_endpoint("p1", write, **ALL)
+            await harness.start_endpoint("p1", send_remaining_events, **ALL_LAYERS)
             harness.group.start_soon(harness.routers[0].leave)
             await harness.wait_until(lambda: not harness.routers[0].ready)
             response = await harness.request("/draft/x", method="POST")
-            assert response.body == WHOLE
+            assert response.body == ALL_EVENTS
             assert response.head.header(b"connection") == b"close"
 
 
 class TestRetryBudget:
-    async def test_a_refusal_for_want_of_repeats_names_the_budget(self) -> None:
-        """Guards against refusals that seem to come from full endpoints."""
+    async def test_refusal_without_retries_is_counted_as_retry_budget(self) -> None:
+        """Such refusals must not be counted as refusals by full endpoints."""
 
-        async def refuse(arrival: ReceivedRequest) -> None:
-            await arrival.refuse(503)
+        async def refuse(request: ReceivedRequest) -> None:
+            await request.refuse(503)
 
         async with router_harness(ROUTES) as harness:
-            await harness.start_endpoint("p1", refuse, **ALL)
+            await harness.start_endpoint("p1", refuse, **ALL_LAYERS)
             router = harness.routers[0]
             router.budget.ratio = router.budget.constant = 0.0
-            answer = await harness.request("/draft/x", method="POST")
-            assert answer.head.status == 503
+            response = await harness.request("/draft/x", method="POST")
+            assert response.head.status == 503
             text = router.frontend._context.metrics.render().decode()
             assert 'refusals_total{label="retry_budget"} 1' in text
