--- a/packages/router/src/hemlockhall_router/request/relay.py
+++ b/packages/router/src/hemlockhall_router/request/relay.py
@@ -1,4 +1,4 @@
-"""A caller's request, and what relaying it needs."""
+"""What plain and stream relays share: the request, its context, its counts."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
     from hemlockhall_router.version.path import Path
     from hemlockhall_router.version.routing import Customer, Route, Service
 
-# Seconds taken off the time that an endpoint is told, for the way there.
-WAY_S = 0.005
+# Network time to the endpoint, subtracted from the deadline that it is sent.
+TRANSIT_S = 0.005
 
 
 @dataclass(slots=True)
 class RelayContext:
-    """What a relay uses of the process."""
+    """The components of the process that a relay uses."""
 
     dialect: Dialect
     pool: ConnectionPool
@@ -43,7 +43,10 @@
 
 @dataclass(slots=True)
 class RoutedRequest:
-    """A caller's request with its route; deadlines are monotonic seconds."""
+    """A caller's request with its route and service.
+
+    ``id`` is the caller's id of the request, ``deadline`` monotonic seconds.
+    """
 
     head: RequestHead
     body: bytes
@@ -55,8 +58,12 @@
     token_counts: TokenCounts | None = None
 
     @property
-    def size(self) -> int:
-        """Tokens for which it takes memory at most, or what is usual."""
+    def token_estimate(self) -> int:
+        """Tokens that it may occupy in memory.
+
+        Prompt and maximum output if the request states them, else the typical
+        counts of the model; 0 without a model.
+        """
         if self.token_counts is not None:
             return self.token_counts.prompt + self.token_counts.max_output
         model = self.service.model
@@ -67,25 +74,25 @@
         )
 
     @property
-    def left_s(self) -> float:
+    def remaining_s(self) -> float:
         """Seconds until the deadline."""
         return self.deadline - time.monotonic()
 
 
-def outgoing(
-    work: RoutedRequest,
+def encode_upstream_request(
+    request: RoutedRequest,
     dialect: Dialect,
     endpoint: Endpoint,
     path: Path | None = None,
     resume_after: bytes | None = None,
 ) -> bytes:
-    """Return the request as an endpoint gets it.
+    """Return the encoded request for an endpoint.
 
-    The caller's own copies of headers that this host sets go first: a caller
-    that names a customer or an endpoint itself would act for somebody else.
+    Headers that only this host may set are removed from the caller's request: a
+    caller that sent them could act for another customer or choose its endpoint.
     """
     names = dialect.headers
-    ours = {
+    replaced = {
         b"content-length",
         names.api_key,
         names.customer,
@@ -97,98 +104,100 @@
         names.failed_endpoint,
     }
     if resume_after is not None:
-        ours.add(names.resume_after)
+        replaced.add(names.resume_after)
     headers: Headers = []
-    for key, value in end_to_end_headers(work.head.headers):
-        if key.lower() not in ours:
+    for key, value in end_to_end_headers(request.head.headers):
+        if key.lower() not in replaced:
             headers.append((key, value))
-    left_ms = max(1, int((work.left_s - WAY_S) * 1000))
-    headers.append((names.deadline_ms, b"%d" % left_ms))
+    remaining_ms = max(1, int((request.remaining_s - TRANSIT_S) * 1000))
+    headers.append((names.deadline_ms, b"%d" % remaining_ms))
     headers.append((names.expected_endpoint, endpoint.id.encode()))
-    if work.customer is not None:
-        headers.append((names.customer, work.customer.name.encode()))
+    if request.customer is not None:
+        headers.append((names.customer, request.customer.name.encode()))
     if path is not None:
         headers.append((names.path, dialect.encode_path(path)))
     if resume_after is not None:
         headers.append((names.resume_after, resume_after))
-    return encode_request(work.head.method, work.head.target, headers, work.body)
+    return encode_request(
+        request.head.method, request.head.target, headers, request.body
+    )
 
 
-class Occupied:
-    """Counts a request and its tokens at the endpoints that it uses.
+class InFlightTracker:
+    """Counts a request and its tokens in the records of its endpoints.
 
-    A stream is also entered there, so that it is moved if one of them fails.
+    A stream is also registered there, so that it is moved if one of them fails.
     """
 
     def __init__(
         self,
         directory: Directory,
-        ids: list[str],
-        running: ActiveStream | None = None,
+        endpoint_ids: list[str],
+        active_stream: ActiveStream | None = None,
         tokens: int = 0,
     ) -> None:
         self._directory = directory
-        self._running = running
+        self._active_stream = active_stream
         self._tokens = tokens
-        self._entered = False
-        self._reading = False
-        self._held: list[EndpointRecord] = []
-        for key in ids:
-            record = directory.records.get(key)
+        self._started = False
+        self._prefill_pending = False
+        self._records: list[EndpointRecord] = []
+        for endpoint_id in endpoint_ids:
+            record = directory.records.get(endpoint_id)
             if record is not None:
-                self._held.append(record)
+                self._records.append(record)
 
-    def enter(self) -> None:
-        """Count the request from now on."""
-        self._reading = True
-        for record in self._held:
+    def start(self) -> None:
+        """Begin to count the request."""
+        self._prefill_pending = True
+        for record in self._records:
             record.in_flight += 1
             record.tokens += self._tokens
             record.prefill_tokens += self._tokens
-            if self._running is not None:
-                record.active_streams.add(self._running)
-        if self._running is not None:
-            self._directory.active_streams.add(self._running)
-        self._entered = True
-
-    def read(self) -> None:
-        """Note that its prompt has been read; once is enough."""
-        if not self._reading:
+            if self._active_stream is not None:
+                record.active_streams.add(self._active_stream)
+        if self._active_stream is not None:
+            self._directory.active_streams.add(self._active_stream)
+        self._started = True
+
+    def prefill_done(self) -> None:
+        """Record that the prefill is done; further calls have no effect."""
+        if not self._prefill_pending:
             return
-        self._reading = False
-        for record in self._held:
+        self._prefill_pending = False
+        for record in self._records:
             record.prefill_tokens -= self._tokens
 
-    def heard(self) -> None:
-        """Note that an event came through the endpoints."""
+    def record_event(self) -> None:
+        """Record that an event arrived through the endpoints."""
         now = time.monotonic()
-        for record in self._held:
+        for record in self._records:
             record.last_event_at = record.last_local_event_at = now
 
-    def exit(self) -> None:
-        """Count it no more; once is enough."""
-        if not self._entered:
+    def finish(self) -> None:
+        """Stop counting the request; further calls have no effect."""
+        if not self._started:
             return
-        self.read()
-        self._entered = False
-        for record in self._held:
+        self.prefill_done()
+        self._started = False
+        for record in self._records:
             record.in_flight -= 1
             record.tokens -= self._tokens
-            if self._running is not None:
-                record.active_streams.discard(self._running)
-        if self._running is not None:
-            self._directory.active_streams.discard(self._running)
+            if self._active_stream is not None:
+                record.active_streams.discard(self._active_stream)
+        if self._active_stream is not None:
+            self._directory.active_streams.discard(self._active_stream)
 
     def __enter__(self) -> None:
-        self.enter()
+        self.start()
 
     def __exit__(self, *_: object) -> None:
-        self.exit()
+        self.finish()
 
 
 __all__ = [
-    "Occupied",
+    "InFlightTracker",
     "RelayContext",
     "RoutedRequest",
-    "outgoing",
+    "encode_upstream_request",
 ]
--- a/packages/router/src/hemlockhall_router/request/times.py
+++ b/packages/router/src/hemlockhall_router/request/times.py
@@ -1,40 +1,41 @@
-"""When the events of a stream came."""
+"""Timing of the events of a stream."""
 
 from __future__ import annotations
 
 import time
 
 
-class Times:
-    """Times of one stream in seconds since its request arrived.
+class StreamTimes:
+    """Event times of one stream, in seconds since its request arrived.
 
-    ``first_s`` is the first event, ``pause_s`` the longest pause between two
-    events and ``pause_after_s`` its end.
+    ``first_event_s`` is the time of the first event, 0.0 before it.
+    ``longest_event_gap_s`` is the longest time between two events, which ended
+    ``longest_event_gap_end_s`` after the request arrived.
     """
 
     def __init__(self) -> None:
-        self._began = time.monotonic()
-        self._last = 0.0
-        self.first_s = 0.0
-        self.pause_s = 0.0
-        self.pause_after_s = 0.0
+        self._started_at = time.monotonic()
+        self._last_event_s = 0.0
+        self.first_event_s = 0.0
+        self.longest_event_gap_s = 0.0
+        self.longest_event_gap_end_s = 0.0
 
     @property
-    def took_s(self) -> float:
+    def elapsed_s(self) -> float:
         """Seconds since the request arrived."""
-        return time.monotonic() - self._began
+        return time.monotonic() - self._started_at
 
-    def event(self) -> None:
-        """Note that events came."""
-        since = time.monotonic() - self._began
-        if not self.first_s:
-            self.first_s = since
-        elif since - self._last > self.pause_s:
-            self.pause_s = since - self._last
-            self.pause_after_s = since
-        self._last = since
+    def record_event(self) -> None:
+        """Record that one or more events arrived."""
+        now_s = time.monotonic() - self._started_at
+        if not self.first_event_s:
+            self.first_event_s = now_s
+        elif now_s - self._last_event_s > self.longest_event_gap_s:
+            self.longest_event_gap_s = now_s - self._last_event_s
+            self.longest_event_gap_end_s = now_s
+        self._last_event_s = now_s
 
 
 __all__ = [
-    "Times",
+    "StreamTimes",
 ]
