--- a/packages/router/src/hemlockhall_router/process/addresses.py
+++ b/packages/router/src/hemlockhall_router/process/addresses.py
@@ -8,7 +8,7 @@
     from hemlockhall_router.process.directory import EndpointRecord
 
 
-class Addresses:
+class AddressTable:
     """The newest run at each address.
 
     A crashed endpoint keeps its entry for some heartbeats, and starts again at the
@@ -16,27 +16,27 @@
     """
 
     def __init__(self) -> None:
-        self._newest: dict[tuple[str, int], EndpointRecord] = {}
+        self._owners: dict[tuple[str, int], EndpointRecord] = {}
 
-    def occupy(self, record: EndpointRecord) -> EndpointRecord | None:
+    def claim(self, record: EndpointRecord) -> EndpointRecord | None:
         """Enter an endpoint; return the run at its address that has ended, if any."""
         address = record.endpoint.address
-        other = self._newest.get(address)
+        other = self._owners.get(address)
         if other is None or other is record or other.endpoint.address != address:
-            self._newest[address] = record
+            self._owners[address] = record
             return None
         if 0 < record.endpoint.started_ms < other.endpoint.started_ms:
             return record
-        self._newest[address] = record
+        self._owners[address] = record
         return other
 
-    def leave(self, record: EndpointRecord) -> None:
+    def release(self, record: EndpointRecord) -> None:
         """Remove an endpoint whose entry is gone."""
         address = record.endpoint.address
-        if self._newest.get(address) is record:
-            del self._newest[address]
+        if self._owners.get(address) is record:
+            del self._owners[address]
 
 
 __all__ = [
-    "Addresses",
+    "AddressTable",
 ]
--- a/packages/router/src/hemlockhall_router/process/budget.py
+++ b/packages/router/src/hemlockhall_router/process/budget.py
@@ -18,15 +18,15 @@
 BUCKETS = 40
 # Part of its share that a host may spend whatever the others spend. The rest is
 # lent to hosts that need more.
-FLOOR = 0.5
+RESERVED_FRACTION = 0.5
 # Seconds after which all hosts have heard what a host spent.
-LAG_S = 1.5
+USAGE_LAG_S = 1.5
 
 
 @dataclass(slots=True)
 class _Counts:
     requests: dict[int, int] = field(default_factory=dict)
-    repeats: dict[int, int] = field(default_factory=dict)
+    retries: dict[int, int] = field(default_factory=dict)
 
 
 class RetryBudget:
@@ -64,32 +64,32 @@
         ratio: float,
         constant: float,
         window_s: float,
-        hosts: Callable[[], int],
-        shared: Callable[[], tuple[int, list[RetryUsage]]],
+        max_hosts: Callable[[], int],
+        cluster_usage: Callable[[], tuple[int, list[RetryUsage]]],
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self.ratio = ratio
         self.constant = constant
         self.window_s = window_s
-        self._hosts = hosts
-        self._shared = shared
+        self._max_hosts = max_hosts
+        self._cluster_usage = cluster_usage
         self._clock = clock
-        self._young_deadline = clock() + window_s
+        self._startup_deadline = clock() + window_s
         self._services: dict[str, _Counts] = {}
 
     def record_request(self, service: str) -> None:
         """Count a caller's request for a service."""
-        _count(self._counts(service).requests, self._bucket())
+        _increment(self._counts(service).requests, self._bucket())
 
     def try_acquire(self, service: str) -> bool:
         """Count a repeat and return True, or return False if none is left."""
         counts = self._counts(service)
         share = self._share(service)
-        kept = self._kept(share)
-        if sum(counts.repeats.values()) + 1 > kept:
-            if self._drawn(counts, kept) + 1 > self._left(service, share):
+        reserved = self._reserved(share)
+        if sum(counts.retries.values()) + 1 > reserved:
+            if self._borrowed(counts, reserved) + 1 > self._remaining(service, share):
                 return False
-        _count(counts.repeats, self._bucket())
+        _increment(counts.retries, self._bucket())
         return True
 
     def usage(self) -> list[RetryUsage]:
@@ -97,73 +97,77 @@
         found = []
         for service in self._services:
             counts = self._counts(service)
-            kept = self._kept(self._share(service))
-            repeats = max(sum(counts.repeats.values()), round(kept))
+            reserved = self._reserved(self._share(service))
+            retries = max(sum(counts.retries.values()), round(reserved))
             requests = sum(counts.requests.values())
-            found.append(RetryUsage(service_key(service), requests, repeats))
+            found.append(RetryUsage(service_key(service), requests, retries))
         return found
 
-    def _kept(self, share: float) -> float:
+    def _reserved(self, share: float) -> float:
         """Return what this host may spend whatever the others spend."""
-        return share if self._clock() < self._young_deadline else share * FLOOR
+        return (
+            share
+            if self._clock() < self._startup_deadline
+            else share * RESERVED_FRACTION
+        )
 
-    def _drawn(self, counts: _Counts, kept: float) -> float:
+    def _borrowed(self, counts: _Counts, reserved: float) -> float:
         """Return what was drawn so lately that others may not know of it."""
-        oldest = self._bucket() - int(LAG_S / self.window_s * BUCKETS) - 1
+        oldest = self._bucket() - int(USAGE_LAG_S / self.window_s * BUCKETS) - 1
         earlier = 0
-        for bucket, repeats in counts.repeats.items():
+        for bucket, retries in counts.retries.items():
             if bucket < oldest:
-                earlier += repeats
-        spent = sum(counts.repeats.values())
-        return max(0.0, spent - kept) - max(0.0, earlier - kept)
+                earlier += retries
+        spent = sum(counts.retries.values())
+        return max(0.0, spent - reserved) - max(0.0, earlier - reserved)
 
     def _share(self, service: str) -> float:
         """Return the repeats that fall to this host by what it receives."""
         requests = sum(self._counts(service).requests.values())
-        heard, everyone = self._heard(service)
-        part = (requests + 1) / (max(requests, everyone.requests) + heard)
-        part *= heard / max(heard, self._hosts())
-        return SAFETY_FACTOR * (self.ratio * requests + self.constant * part)
+        live_hosts, total = self._usage_of_all(service)
+        fraction = (requests + 1) / (max(requests, total.requests) + live_hosts)
+        fraction *= live_hosts / max(live_hosts, self._max_hosts())
+        return SAFETY_FACTOR * (self.ratio * requests + self.constant * fraction)
 
-    def _left(self, service: str, share: float) -> float:
+    def _remaining(self, service: str, share: float) -> float:
         """Return this host's part of what all hosts together have left."""
-        heard, everyone = self._heard(service)
+        live_hosts, total = self._usage_of_all(service)
         counts = self._counts(service)
         # What it told the others may not have come back yet.
-        requests = max(everyone.requests, sum(counts.requests.values()))
-        spent = max(sum(counts.repeats.values()), self._kept(share))
-        spent = max(everyone.retries, spent)
-        part = heard / max(heard, self._hosts())
-        allowance = SAFETY_FACTOR * (self.ratio * requests + self.constant * part)
-        if not allowance:
+        requests = max(total.requests, sum(counts.requests.values()))
+        spent = max(sum(counts.retries.values()), self._reserved(share))
+        spent = max(total.retries, spent)
+        fraction = live_hosts / max(live_hosts, self._max_hosts())
+        budget = SAFETY_FACTOR * (self.ratio * requests + self.constant * fraction)
+        if not budget:
             return 0.0
-        return (allowance - spent) * share / allowance
+        return (budget - spent) * share / budget
 
-    def _heard(self, service: str) -> tuple[int, RetryUsage]:
+    def _usage_of_all(self, service: str) -> tuple[int, RetryUsage]:
         """Return how many hosts are heard of, and the sum of their use."""
-        heard, usages = self._shared()
+        live_hosts, usages = self._cluster_usage()
         key = service_key(service)
         for usage in usages:
             if usage.service == key:
-                return max(1, heard), usage
-        return max(1, heard), RetryUsage(key, 0, 0)
+                return max(1, live_hosts), usage
+        return max(1, live_hosts), RetryUsage(key, 0, 0)
 
     def _counts(self, service: str) -> _Counts:
         counts = self._services.setdefault(service, _Counts())
         oldest = self._bucket() - BUCKETS
-        _forget(counts.requests, oldest)
-        _forget(counts.repeats, oldest)
+        _drop_before(counts.requests, oldest)
+        _drop_before(counts.retries, oldest)
         return counts
 
     def _bucket(self) -> int:
         return int(self._clock() / self.window_s * BUCKETS)
 
 
-def _count(buckets: dict[int, int], bucket: int) -> None:
+def _increment(buckets: dict[int, int], bucket: int) -> None:
     buckets[bucket] = buckets.get(bucket, 0) + 1
 
 
-def _forget(buckets: dict[int, int], oldest: int) -> None:
+def _drop_before(buckets: dict[int, int], oldest: int) -> None:
     for bucket in list(buckets):
         if bucket < oldest:
             del buckets[bucket]
--- a/packages/router/src/hemlockhall_router/process/chooser.py
+++ b/packages/router/src/hemlockhall_router/process/chooser.py
@@ -26,19 +26,19 @@
 
 # Spread of the costs of endpoints, either way. Hosts know of each other's requests
 # with a delay; without it all would choose the same endpoints meanwhile.
-SPREAD = 0.1
+COST_JITTER = 0.1
 # Milliseconds a hop to another data centre costs for each token at least.
-FAR_MS = 2.0
+MIN_CROSS_DATA_CENTRE_MS = 2.0
 # Backlog of a pipe, in seconds, that leaves a prompt time to be read in its
 # objective.
-BACKLOG_S = 0.15
+LINK_BACKLOG_LIMIT_S = 0.15
 # Seconds for which no request looks for a path after a search over all endpoints
 # found none. Many streams wait then, and searching for each would keep the host
 # from passing on the events of the others.
-NONE_S = 0.05
+NO_PATH_BACKOFF_S = 0.05
 # Factor on the cost of an endpoint whose entry lapsed: it may have left, and is
 # used only where the others are far slower or full.
-DOUBT_FACTOR = 5.0
+LAPSED_ENTRY_FACTOR = 5.0
 
 
 class Chooser:
@@ -48,16 +48,16 @@
         self,
         directory: Directory,
         home: str,
-        pipes: DataCentreLinks,
-        hosts: Callable[[], int],
+        data_centre_links: DataCentreLinks,
+        host_count: Callable[[], int],
     ) -> None:
         self._directory = directory
-        self._hosts = hosts
-        self._pipes = pipes
+        self._host_count = host_count
+        self._data_centre_links = data_centre_links
         self._home = home
-        self._seen_at: dict[str, float] = {}
-        self._none_deadlines: dict[str, float] = {}
-        self._began = time.monotonic()
+        self._path_found_at: dict[str, float] = {}
+        self._no_path_deadlines: dict[str, float] = {}
+        self._started_at = time.monotonic()
 
     def choose_endpoint(
         self, service: str, excluded: set[str]
@@ -71,7 +71,7 @@
             slots = max(1, record.endpoint.slots)
             wait = record.latency_s * (1 + record.load / slots)
             if record.entry_lapsed:
-                wait *= DOUBT_FACTOR
+                wait *= LAPSED_ENTRY_FACTOR
             wait *= random.uniform(0.9, 1.1)  # noqa: S311
             if wait < least:
                 best, least = record, wait
@@ -101,18 +101,18 @@
         if model is None:
             return None
         now = time.monotonic()
-        if now < self._none_deadlines.get(service.name, 0.0):
+        if now < self._no_path_deadlines.get(service.name, 0.0):
             return None
         path = self._find(service, model, excluded, tokens, first_endpoint_ids)
         if path is not None:
-            self._seen_at[service.name] = now
+            self._path_found_at[service.name] = now
         elif not excluded and first_endpoint_ids is None:
-            self._none_deadlines[service.name] = now + NONE_S
+            self._no_path_deadlines[service.name] = now + NO_PATH_BACKOFF_S
         return path
 
     def seconds_without_path(self, service: str) -> float:
         """Return for how many seconds there has been no path at all."""
-        return time.monotonic() - self._seen_at.get(service, self._began)
+        return time.monotonic() - self._path_found_at.get(service, self._started_at)
 
     def _find(
         self,
@@ -122,12 +122,12 @@
         tokens: int,
         first_endpoint_ids: frozenset[str] | None,
     ) -> Path | None:
-        catalog = self._directory.replica_index
-        sample = catalog.sample(service.name, model, self._home, first_endpoint_ids)
+        index = self._directory.replica_index
+        sample = index.sample(service.name, model, self._home, first_endpoint_ids)
         path = self._search(
             service, model, sample, excluded, tokens, first_endpoint_ids
         )
-        endpoints = catalog.endpoints(service.name)
+        endpoints = index.endpoints(service.name)
         if path is not None or len(sample) == len(endpoints):
             return path
         return self._search(
@@ -144,17 +144,19 @@
         first_endpoint_ids: frozenset[str] | None,
     ) -> Path | None:
         # A prompt is read later by the time that its activations take the pipe.
-        pipe_ms = FAR_MS + PREFILL_WEIGHT * 1000 * transfer_s(model, tokens)
-        burst_s = self._pipes.burst_s(model, tokens)
+        link_ms = MIN_CROSS_DATA_CENTRE_MS + PREFILL_WEIGHT * 1000 * transfer_s(
+            model, tokens
+        )
+        burst_s = self._data_centre_links.burst_s(model, tokens)
         costs = {}
-        hosts = self._hosts()
+        host_count = self._host_count()
         now = time.monotonic()
         endpoints = []
         for record in candidates:
             if record.endpoint.id in excluded or not record.usable(now):
                 continue
             costs[record.endpoint.id] = _endpoint_cost(
-                record, model, service.slots, tokens, hosts
+                record, model, service.slots, tokens, host_count
             )
             endpoints.append(record.endpoint)
         return find_path(
@@ -162,27 +164,27 @@
             endpoints,
             self._home,
             lambda endpoint: costs[endpoint.id],
-            lambda here, there: pipe_ms + self._waiting_ms(here, there, burst_s),
+            lambda here, there: link_ms + self._queueing_ms(here, there, burst_s),
             first_endpoint_ids,
         )
 
-    def _waiting_ms(self, here: str, there: str, burst_s: float) -> float:
-        backlog_s = self._pipes.backlog_s(here, there) + burst_s
-        return PENALTY_MS * load_penalty(backlog_s / BACKLOG_S)
+    def _queueing_ms(self, here: str, there: str, burst_s: float) -> float:
+        backlog_s = self._data_centre_links.backlog_s(here, there) + burst_s
+        return PENALTY_MS * load_penalty(backlog_s / LINK_BACKLOG_LIMIT_S)
 
 
 def _endpoint_cost(
-    record: EndpointRecord, model: Model, slots: int, size: int, hosts: int
+    record: EndpointRecord, model: Model, slots: int, tokens: int, host_count: int
 ) -> EndpointCost:
     """Return what one more request at an endpoint costs."""
-    factor = record.slowdown * random.uniform(1 - SPREAD, 1 + SPREAD)  # noqa: S311
+    factor = record.slowdown * random.uniform(1 - COST_JITTER, 1 + COST_JITTER)  # noqa: S311
     if record.entry_lapsed:
-        factor *= DOUBT_FACTOR
-    memory_ms = PENALTY_MS * load_penalty(utilization(record, model, size))
+        factor *= LAPSED_ENTRY_FACTOR
+    memory_ms = PENALTY_MS * load_penalty(utilization(record, model, tokens))
     start_ms = 0.0
     if slots:
         start_ms = PENALTY_MS * load_penalty((record.load + 1) / slots)
-    layer_ms = PREFILL_WEIGHT * prefill_ms(record, model, size, hosts)
+    layer_ms = PREFILL_WEIGHT * prefill_ms(record, model, tokens, host_count)
     return EndpointCost(
         factor, layer_ms * factor, memory_ms * factor, start_ms * factor
     )
--- a/packages/router/src/hemlockhall_router/process/leadership.py
+++ b/packages/router/src/hemlockhall_router/process/leadership.py
@@ -12,11 +12,11 @@
     from hemlockhall_router.process.lease import Lease
 
 # Seconds between tries to acquire or renew the lease.
-ACQUIRE_S = 1.0
-RENEW_AGAIN_S = 0.2
+ACQUIRE_INTERVAL_S = 1.0
+RENEW_RETRY_S = 0.2
 # Seconds without an answer of the store, and without a host that holds the lease,
 # from which one host plans without it: as long as the lease lasts.
-STAND_IN_S = 3.0
+FALLBACK_AFTER_S = 3.0
 
 
 class Leadership:
@@ -34,34 +34,34 @@
     def __init__(self, lease: Lease, membership: Membership) -> None:
         self._lease = lease
         self._membership = membership
-        self._next_take = 0.0
-        self._standing_in = False
+        self._next_attempt = 0.0
+        self._fallback = False
         self._leaving = False
 
-    async def holds(self) -> bool:
+    async def may_plan(self) -> bool:
         """Return whether this host may give orders now."""
         lease, now = self._lease, time.monotonic()
-        rival = self._membership.newest_fence()
-        if lease.fence and rival > lease.fence:
-            lease.drop("another host holds a newer one")
+        peer_fence = self._membership.newest_fence()
+        if lease.fence and peer_fence > lease.fence:
+            lease.mark_lost("another host holds a newer one")
         if lease.fence:
-            if lease.due and now >= self._next_take:
-                self._next_take = now + RENEW_AGAIN_S
+            if lease.renewal_due and now >= self._next_attempt:
+                self._next_attempt = now + RENEW_RETRY_S
                 await lease.acquire_or_renew()
             return lease.fence > 0
-        if rival or (self._leaving and self._membership.has_active_peer()):
-            self._stand_in(False)
+        if peer_fence or (self._leaving and self._membership.has_active_peer()):
+            self._set_fallback(False)
             return False
         if not self._membership.is_hub:
             # Hubs are enough: a try of each host costs a call to the store.
-            self._stand_in(False)
+            self._set_fallback(False)
             return False
-        if now >= self._next_take:
-            self._next_take = now + ACQUIRE_S
+        if now >= self._next_attempt:
+            self._next_attempt = now + ACQUIRE_INTERVAL_S
             await lease.acquire_or_renew()
         if not lease.fence:
-            self._stand_in(self._should_stand_in(now))
-        return lease.fence > 0 or self._standing_in
+            self._set_fallback(self._should_fall_back(now))
+        return lease.fence > 0 or self._fallback
 
     async def resign(self) -> None:
         """Leave planning to another host; go on while there is none."""
@@ -69,16 +69,16 @@
         if self._membership.has_active_peer():
             await self._lease.release()
 
-    def _should_stand_in(self, now: float) -> bool:
-        silent_since = self._lease.silent_since
-        if silent_since is None or now - silent_since < STAND_IN_S:
+    def _should_fall_back(self, now: float) -> bool:
+        unreachable_since = self._lease.unreachable_since
+        if unreachable_since is None or now - unreachable_since < FALLBACK_AFTER_S:
             return False
         return self._membership.has_lowest_name()
 
-    def _stand_in(self, wanted: bool) -> None:
-        if wanted == self._standing_in:
+    def _set_fallback(self, wanted: bool) -> None:
+        if wanted == self._fallback:
             return
-        self._standing_in = wanted
+        self._fallback = wanted
         event = "planning without the lease" if wanted else "planning left to the lease"
         logger.warning(event)
 
--- a/packages/router/src/hemlockhall_router/process/planner.py
+++ b/packages/router/src/hemlockhall_router/process/planner.py
@@ -40,30 +40,30 @@
     from hemlockhall_router.version.routing import Model, RoutingConfig
 
 # Seconds between two plans.
-INTERVAL_S = 0.2
+PLAN_INTERVAL_S = 0.2
 # The same where nothing is known to have changed.
-CALM_INTERVAL_S = 1.0
+IDLE_PLAN_INTERVAL_S = 1.0
 # Orders under way at once, as a multiple of the loads that the weight store serves
 # at full speed: the rest would wait there, and hold up those that come first.
-ORDERS_AT_ONCE = 8
+ORDERS_PER_LOAD = 8
 # Orders under way at once at most: each takes connections of this host.
-ORDERS_MAX = 128
+MAX_CONCURRENT_ORDERS = 128
 # Seconds an order may take to be accepted.
-ORDER_S = 0.3
+ORDER_TIMEOUT_S = 0.3
 # Times that an order without an answer is given.
-ORDER_TRIES = 3
+ORDER_ATTEMPTS = 3
 # Seconds beyond the loading time until an order counts as lost.
-LOAD_ALLOWANCE_S = 3.0
+LOAD_MARGIN_S = 3.0
 # Seconds before an order without an answer is looked into again.
-UNCERTAIN_S = 1.5
+UNCONFIRMED_ORDER_S = 1.5
 # Seconds between two looks at an order that is carried out.
-REPORT_S = 0.4
+REPORT_INTERVAL_S = 0.4
 # Seconds before an endpoint that refused an order, or is busy, is asked again.
-REST_S = 0.5
+ORDER_BACKOFF_S = 0.5
 
 
 @dataclass(slots=True)
-class Pending:
+class PendingOrder:
     """An order that the endpoint does not show yet.
 
     ``deadline`` has no bound until its turn comes. ``immediate`` tells that it gives
@@ -75,7 +75,7 @@
     deadline: float = float("inf")
     immediate: bool = False
     sent: bool = False
-    follows: int = 0
+    preceding_orders: int = 0
 
 
 class Planner:
@@ -100,108 +100,116 @@
         self._metrics = metrics
         self._routing = routing
         self._timing = timing
-        self._pending: dict[tuple[str, int], Pending] = {}
-        self._turns = anyio.CapacityLimiter(ORDERS_MAX)
-        self._known: dict[str, set[tuple[str, int]]] = {}
+        self._pending: dict[tuple[str, int], PendingOrder] = {}
+        self._order_limiter = anyio.CapacityLimiter(MAX_CONCURRENT_ORDERS)
+        self._known_incarnations: dict[str, set[tuple[str, int]]] = {}
         self._settle_deadlines: dict[str, float] = {}
-        self._rest: dict[str, float] = {}
-        self._calm: dict[str, tuple[int, float]] = {}
-        self._settled: dict[str, set[GroupState]] = {}
+        self._backoff_deadlines: dict[str, float] = {}
+        self._idle: dict[str, tuple[int, float]] = {}
+        self._settled_groups: dict[str, set[GroupState]] = {}
 
     async def run(self) -> None:
         """Plan until cancelled."""
         async with anyio.create_task_group() as group:
             while True:
-                await anyio.sleep(INTERVAL_S)
-                if not await self._leadership.holds():
-                    self._drop_waiting()
+                await anyio.sleep(PLAN_INTERVAL_S)
+                if not await self._leadership.may_plan():
+                    self._drop_queued()
                     continue
                 routing = self._routing()
                 if routing is None:
                     continue
                 for service in routing.services.values():
                     if service.model is not None:
-                        self._step(service.name, service.model, group)
+                        self._plan_service(service.name, service.model, group)
 
-    def _step(self, service: str, model: Model, group: anyio.abc.TaskGroup) -> None:
+    def _plan_service(
+        self, service: str, model: Model, group: anyio.abc.TaskGroup
+    ) -> None:
         now = time.monotonic()
-        version, calm_deadline = self._calm.get(service, (-1, 0.0))
-        if version == self._directory.version and now < calm_deadline:
+        version, idle_deadline = self._idle.get(service, (-1, 0.0))
+        if version == self._directory.version and now < idle_deadline:
             return
         members = self._directory.live_endpoints(service)
-        self._settle(service, members, now)
-        held: dict[str, LayerRange | None] = {}
+        self._track_members(service, members, now)
+        assigned: dict[str, LayerRange | None] = {}
         for endpoint in members:
-            held[endpoint.id] = self._layers(endpoint, now)
-        started = any(layers is not None for layers in held.values())
+            assigned[endpoint.id] = self._assigned_layers(endpoint, now)
+        started = any(layers is not None for layers in assigned.values())
         if not started and now < self._settle_deadlines.get(service, 0.0):
             return
         by_id = {endpoint.id: endpoint for endpoint in members}
         serving = {endpoint.id: endpoint.layers for endpoint in members}
-        fixed = frozenset(key for key in by_id if self._fixed(by_id[key], now))
+        fixed = frozenset(
+            endpoint_id
+            for endpoint_id in by_id
+            if self._is_fixed(by_id[endpoint_id], now)
+        )
         division = self._directory.replica_index.division(service, model)
         # A copy without some layers serves nobody. Waiting until the streams on
         # an endpoint have ended leaves it so for as long as they take, which
         # under load is many seconds; those few streams go on elsewhere.
-        at_once = not is_complete(model, members, serving, division)
-        settled = self._settled.setdefault(service, set())
-        orders = plan_layout(model, members, held, serving, fixed, division, settled)
+        immediate = not is_complete(model, members, serving, division)
+        settled = self._settled_groups.setdefault(service, set())
+        orders = plan_layout(
+            model, members, assigned, serving, fixed, division, settled
+        )
         if not orders:
             if not fixed:
-                calm_deadline = now + CALM_INTERVAL_S
-                self._calm[service] = (self._directory.version, calm_deadline)
+                idle_deadline = now + IDLE_PLAN_INTERVAL_S
+                self._idle[service] = (self._directory.version, idle_deadline)
             return
-        wanted = {**held, **orders}
-        refused = self._refused(service, model, members, wanted, division)
-        for key, layers in orders.items():
-            if key in fixed or key in refused:
+        planned = {**assigned, **orders}
+        unroutable = self._unroutable(service, model, members, planned, division)
+        for endpoint_id, layers in orders.items():
+            if endpoint_id in fixed or endpoint_id in unroutable:
                 continue
             # The whole plan counts as ordered at once: planned anew for the rest, a
             # copy that is ordered in part would look broken.
-            order = Pending(layers, immediate=at_once)
-            endpoint = by_id[key]
+            order = PendingOrder(layers, immediate=immediate)
+            endpoint = by_id[endpoint_id]
             self._pending[endpoint.incarnation] = order
-            group.start_soon(self._order, endpoint, order, model)
+            group.start_soon(self._run_order, endpoint, order, model)
 
-    def _refused(
+    def _unroutable(
         self,
         service: str,
         model: Model,
         members: list[Endpoint],
-        wanted: dict[str, LayerRange | None],
+        planned: dict[str, LayerRange | None],
         division: ReplicaDivision,
     ) -> frozenset[str]:
         """Return the endpoints that get no orders, as no request could use them."""
-        refused = endpoints_beyond_max_stages(model, members, wanted, division)
-        if refused:
+        unroutable = endpoints_beyond_max_stages(model, members, planned, division)
+        if unroutable:
             self._metrics.count("plans_refused", "too_many_parts")
             logger.error(
                 "plan refused",
                 service=service,
-                endpoints=len(refused),
+                endpoints=len(unroutable),
                 cause=f"its shortest path has more than {MAX_STAGES} parts; "
                 "add endpoints with more memory",
             )
-        return refused
+        return unroutable
 
-    def _drop_waiting(self) -> None:
+    def _drop_queued(self) -> None:
         """Forget the orders whose turn has not come: another host plans now."""
         for incarnation, order in list(self._pending.items()):
             if order.deadline == float("inf"):
                 del self._pending[incarnation]
 
-    def _settle(self, service: str, members: list[Endpoint], now: float) -> None:
+    def _track_members(self, service: str, members: list[Endpoint], now: float) -> None:
         present = {endpoint.incarnation for endpoint in members}
-        known = self._known.get(service, set())
+        known = self._known_incarnations.get(service, set())
         if present - known:
             # All appear within one heartbeat, and a plan for half of them would
             # have to be redone.
             self._settle_deadlines[service] = now + self._timing.settle_time_s
-        self._known[service] = present
+        self._known_incarnations[service] = present
         for incarnation in known - present:
             self._pending.pop(incarnation, None)
 
-    def _layers(self, endpoint: Endpoint, now: float) -> LayerRange | None:
+    def _assigned_layers(self, endpoint: Endpoint, now: float) -> LayerRange | None:
         """Return what an endpoint holds, or was ordered to hold."""
         order = self._pending.get(endpoint.incarnation)
         if order is None:
@@ -211,52 +219,56 @@
             return endpoint.layers
         return order.layers
 
-    def _fixed(self, endpoint: Endpoint, now: float) -> bool:
+    def _is_fixed(self, endpoint: Endpoint, now: float) -> bool:
         """Return whether an endpoint takes no order now."""
         if endpoint.incarnation in self._pending:
             return True
-        return now < self._rest.get(endpoint.id, 0.0)
+        return now < self._backoff_deadlines.get(endpoint.id, 0.0)
 
-    async def _order(self, endpoint: Endpoint, order: Pending, model: Model) -> None:
+    async def _run_order(
+        self, endpoint: Endpoint, order: PendingOrder, model: Model
+    ) -> None:
         """Give an order when its turn comes, and watch until it is carried out.
 
         One without an answer is given again: it may be lost, or carried out
         seconds later. Both name the same number of orders before them, so the
         endpoint begins one of them and refuses the other.
         """
-        most = min(ORDERS_MAX, ORDERS_AT_ONCE * max(1, model.concurrent_loads))
-        self._turns.total_tokens = most
-        async with self._turns:
+        limit = min(
+            MAX_CONCURRENT_ORDERS, ORDERS_PER_LOAD * max(1, model.concurrent_loads)
+        )
+        self._order_limiter.total_tokens = limit
+        async with self._order_limiter:
             if self._pending.get(endpoint.incarnation) is not order:
                 return
-            together = most / max(1, model.concurrent_loads)
+            concurrency = limit / max(1, model.concurrent_loads)
             load_s = (
-                model.load_all_layers_s * order.layers.size / model.layers * together
+                model.load_all_layers_s * order.layers.size / model.layers * concurrency
             )
-            order.deadline = time.monotonic() + load_s + LOAD_ALLOWANCE_S
-            for _ in range(ORDER_TRIES):
-                if await self._place(endpoint, order):
+            order.deadline = time.monotonic() + load_s + LOAD_MARGIN_S
+            for _ in range(ORDER_ATTEMPTS):
+                if await self._send_order(endpoint, order):
                     return
-            order.deadline = time.monotonic() + UNCERTAIN_S
+            order.deadline = time.monotonic() + UNCONFIRMED_ORDER_S
 
-    async def _place(self, endpoint: Endpoint, order: Pending) -> bool:
+    async def _send_order(self, endpoint: Endpoint, order: PendingOrder) -> bool:
         """Give an order once; return whether its outcome is known."""
         try:
-            report = await self._prober.report(endpoint)
+            report = await self._prober.fetch_report(endpoint)
         except (TransportError, DecodeError) as exc:
-            self._end(endpoint, order, f"no report: {exc}")
+            self._fail_order(endpoint, order, f"no report: {exc}")
             self._prober.request_probes([endpoint.id])
             return True
         if report.layers == order.layers:
-            self._directory.reported(endpoint.id, report)
+            self._directory.apply_report(endpoint.id, report)
             return True
-        if report.busy and order.sent and report.order_count > order.follows:
-            await self._follow(endpoint, order)
+        if report.busy and order.sent and report.order_count > order.preceding_orders:
+            await self._await_completion(endpoint, order)
             return True
         if report.busy:
-            self._end(endpoint, order, "busy")
+            self._fail_order(endpoint, order, "busy")
             return True
-        order.sent, order.follows = True, report.order_count
+        order.sent, order.preceding_orders = True, report.order_count
         call = self._dialect.assign_layers_call(
             order.layers,
             report.order_count,
@@ -264,43 +276,45 @@
             immediate=order.immediate,
         )
         try:
-            deadline = time.monotonic() + ORDER_S
+            deadline = time.monotonic() + ORDER_TIMEOUT_S
             response = await call_endpoint(endpoint, call, deadline)
         except TransportError as exc:
-            self._note(endpoint, order, f"no answer: {exc}")
+            self._record_outcome(endpoint, order, f"no answer: {exc}")
             return False
         status = response.head.status
-        self._note(endpoint, order, str(status))
+        self._record_outcome(endpoint, order, str(status))
         if status not in (200, 202):
-            self._end(endpoint, order, f"status {status}")
+            self._fail_order(endpoint, order, f"status {status}")
             return True
-        await self._follow(endpoint, order)
+        await self._await_completion(endpoint, order)
         return True
 
-    async def _follow(self, endpoint: Endpoint, order: Pending) -> None:
+    async def _await_completion(self, endpoint: Endpoint, order: PendingOrder) -> None:
         while self._pending.get(endpoint.incarnation) is order:
-            await anyio.sleep(REPORT_S)
+            await anyio.sleep(REPORT_INTERVAL_S)
             record = self._directory.records.get(endpoint.id)
             if record is not None and record.endpoint.layers == order.layers:
                 return
             try:
-                report = await self._prober.report(endpoint)
+                report = await self._prober.fetch_report(endpoint)
             except (TransportError, DecodeError):
                 self._prober.request_probes([endpoint.id])
                 return
             if not report.busy:
-                self._directory.reported(endpoint.id, report)
+                self._directory.apply_report(endpoint.id, report)
                 if self._pending.get(endpoint.incarnation) is order:
                     del self._pending[endpoint.incarnation]
                 return
 
-    def _end(self, endpoint: Endpoint, order: Pending, cause: str) -> None:
+    def _fail_order(self, endpoint: Endpoint, order: PendingOrder, cause: str) -> None:
         if self._pending.get(endpoint.incarnation) is order:
             del self._pending[endpoint.incarnation]
-        self._rest[endpoint.id] = time.monotonic() + REST_S
-        self._note(endpoint, order, cause)
+        self._backoff_deadlines[endpoint.id] = time.monotonic() + ORDER_BACKOFF_S
+        self._record_outcome(endpoint, order, cause)
 
-    def _note(self, endpoint: Endpoint, order: Pending, outcome: str) -> None:
+    def _record_outcome(
+        self, endpoint: Endpoint, order: PendingOrder, outcome: str
+    ) -> None:
         self._metrics.count("orders", outcome.split(":")[0])
         logger.info(
             "order",
--- a/packages/router/src/hemlockhall_router/process/prober.py
+++ b/packages/router/src/hemlockhall_router/process/prober.py
@@ -24,30 +24,30 @@
 
 # Seconds in which an endpoint answers for its state unless it is dead or cut off:
 # a stream there has to go on elsewhere within its route's longest pause.
-ANSWER_S = 0.035
+PROBE_TIMEOUT_S = 0.035
 # Seconds allowed where nobody waits: after an order, or for one already down.
-PATIENT_S = 0.4
+RELAXED_PROBE_TIMEOUT_S = 0.4
 # Seconds between two questions to one endpoint, for each four hosts: all of them
 # ask, each question is priced, and an endpoint answers some hundred a second.
-AGAIN_S = 0.5
-HOSTS = 4
+PROBE_INTERVAL_S = 0.5
+HOSTS_PER_PROBE_INTERVAL = 4
 # Factor on the silence that puts a path in doubt after questions that found
 # nothing: under load streams pause although all endpoints live. It falls back
 # by itself, and at once when an endpoint is found dead or slow.
-CALM = 1.6
-CALM_MAX = 2.5
-CALM_FALL = 0.9975
+SILENCE_FACTOR_GROWTH = 1.6
+MAX_SILENCE_FACTOR = 2.5
+SILENCE_FACTOR_DECAY = 0.9975
 # Seconds between two questions to an endpoint that is down or slow.
-SUSPECT_AGAIN_S = 1.0
+UNHEALTHY_PROBE_INTERVAL_S = 1.0
 # Seconds after the end of a wait from which this host itself was slow: what it
 # missed then says nothing about the endpoints.
-OWN_DELAY_S = 0.03
+STALL_S = 0.03
 # Seconds between two looks at the streams under way.
-POLL_S = 0.01
+POLL_INTERVAL_S = 0.01
 # Questions of one round from which it counts how many failed. If most do, it
 # is this host that is slow or cut off, and taking all endpoints out would turn
 # its own trouble into an outage.
-ROUND_MIN = 4
+MIN_ROUND_PROBES = 4
 
 
 async def call_endpoint(
@@ -58,8 +58,8 @@
     conn = await ClientConnection.open(host, port, deadline)
     try:
         headers = [(b"Host", f"{host}:{port}".encode()), *call.headers]
-        text = encode_request(call.method, call.target, headers, call.body)
-        await conn.send(text, deadline)
+        data = encode_request(call.method, call.target, headers, call.body)
+        await conn.send(data, deadline)
         return await conn.read_response(deadline)
     finally:
         await conn.close()
@@ -69,63 +69,67 @@
     """Asks endpoints in doubt for their state, all at once."""
 
     def __init__(
-        self, dialect: Dialect, directory: Directory, hosts: Callable[[], int]
+        self, dialect: Dialect, directory: Directory, host_count: Callable[[], int]
     ) -> None:
         self._dialect = dialect
         self._directory = directory
-        self._hosts = hosts
-        self._doubted: set[str] = set()
-        self._calm = 1.0
-        self._looked_at = time.monotonic()
-        self._awake_at = 0.0
+        self._host_count = host_count
+        self._requested: set[str] = set()
+        self._silence_factor = 1.0
+        self._polled_at = time.monotonic()
+        self._reading_since = 0.0
 
-    def request_probes(self, ids: list[str]) -> None:
+    def request_probes(self, endpoint_ids: list[str]) -> None:
         """Ask these endpoints soon, unless they were asked just now."""
         now = time.monotonic()
-        again_s = AGAIN_S * max(1.0, self._hosts() / HOSTS)
-        for key in ids:
-            record = self._directory.records.get(key)
+        interval_s = PROBE_INTERVAL_S * max(
+            1.0, self._host_count() / HOSTS_PER_PROBE_INTERVAL
+        )
+        for endpoint_id in endpoint_ids:
+            record = self._directory.records.get(endpoint_id)
             if record is None or record.replaced:
                 continue
-            if now - record.checked_at < again_s:
+            if now - record.probed_at < interval_s:
                 continue
-            record.checked_at = now
-            self._doubted.add(key)
+            record.probed_at = now
+            self._requested.add(endpoint_id)
 
     async def run(self) -> None:
         """Look for silent streams, and ask, until cancelled."""
         async with anyio.create_task_group() as group:
             while True:
-                await anyio.sleep(POLL_S)
-                self._note_delay()
-                self._find_silent()
-                due = self._due()
+                await anyio.sleep(POLL_INTERVAL_S)
+                self._detect_stall()
+                self._check_silent_streams()
+                due = self._take_due()
                 if due:
-                    group.start_soon(self._round, due)
+                    group.start_soon(self._probe_round, due)
 
-    def _note_delay(self) -> None:
+    def _detect_stall(self) -> None:
         """Note whether this host was kept from reading what came.
 
         While it takes a large configuration it reads nothing; all streams look
         silent then, and all questions unanswered.
         """
         now = time.monotonic()
-        if now - self._looked_at > POLL_S + OWN_DELAY_S:
-            self._awake_at = now
-        self._looked_at = now
+        if now - self._polled_at > POLL_INTERVAL_S + STALL_S:
+            self._reading_since = now
+        self._polled_at = now
 
-    def _find_silent(self) -> None:
+    def _check_silent_streams(self) -> None:
         now = time.monotonic()
-        self._calm = max(1.0, self._calm * CALM_FALL)
-        for running in self._directory.active_streams:
-            if not running.silence_exceeded(now, self._calm, self._awake_at):
+        self._silence_factor = max(1.0, self._silence_factor * SILENCE_FACTOR_DECAY)
+        for stream in self._directory.active_streams:
+            if not stream.silence_exceeded(
+                now, self._silence_factor, self._reading_since
+            ):
                 continue
-            unheard = self._unheard(running, now)
-            if unheard:
-                running.probe_requested = True
-                self.request_probes(unheard)
+            silent = self._silent_endpoints(stream, now)
+            if silent:
+                stream.probe_requested = True
+                self.request_probes(silent)
 
-    def _unheard(self, running: ActiveStream, now: float) -> list[str]:
+    def _silent_endpoints(self, stream: ActiveStream, now: float) -> list[str]:
         """Return the endpoints of a silent stream through which no other is heard.
 
         A stream also pauses where all of its endpoints live: one reads long
@@ -133,67 +137,80 @@
         ones live; asking those would only add to their load.
         """
         found = []
-        for key in running.endpoint_ids:
-            record = self._directory.records.get(key)
+        for endpoint_id in stream.endpoint_ids:
+            record = self._directory.records.get(endpoint_id)
             if record is None:
                 continue
             if (
-                now - max(record.last_event_at, self._awake_at)
-                > running.silence_limit_s
+                now - max(record.last_event_at, self._reading_since)
+                > stream.silence_limit_s
             ):
-                found.append(key)
+                found.append(endpoint_id)
         return found
 
-    def _due(self) -> list[str]:
-        due = list(self._doubted)
-        self._doubted.clear()
+    def _take_due(self) -> list[str]:
+        due = list(self._requested)
+        self._requested.clear()
         now = time.monotonic()
-        again_s = SUSPECT_AGAIN_S * max(1.0, self._hosts() / HOSTS)
-        for key, record in self._directory.records.items():
-            if record.suspect and now - record.checked_at >= again_s:
-                record.checked_at = now
-                due.append(key)
+        interval_s = UNHEALTHY_PROBE_INTERVAL_S * max(
+            1.0, self._host_count() / HOSTS_PER_PROBE_INTERVAL
+        )
+        for endpoint_id, record in self._directory.records.items():
+            if record.unhealthy and now - record.probed_at >= interval_s:
+                record.probed_at = now
+                due.append(endpoint_id)
         return due
 
-    async def _round(self, ids: list[str]) -> None:
+    async def _probe_round(self, endpoint_ids: list[str]) -> None:
         failed: list[str] = []
         async with anyio.create_task_group() as group:
-            for key in ids:
-                group.start_soon(self._ask, key, failed)
-        if len(ids) >= ROUND_MIN and len(failed) > len(ids) / 2:
-            logger.warning("most questions failed", asked=len(ids), failed=len(failed))
+            for endpoint_id in endpoint_ids:
+                group.start_soon(self._probe, endpoint_id, failed)
+        if (
+            len(endpoint_ids) >= MIN_ROUND_PROBES
+            and len(failed) > len(endpoint_ids) / 2
+        ):
+            logger.warning(
+                "most questions failed", asked=len(endpoint_ids), failed=len(failed)
+            )
             return
-        for key in failed:
-            self._directory.set_down(key, down=True)
-        slow = any(self._directory.suspect(key) for key in ids)
-        self._calm = 1.0 if failed or slow else min(CALM_MAX, self._calm * CALM)
-
-    async def _ask(self, key: str, failed: list[str]) -> None:
-        record = self._directory.records.get(key)
+        for endpoint_id in failed:
+            self._directory.set_down(endpoint_id, down=True)
+        unhealthy = any(
+            self._directory.unhealthy(endpoint_id) for endpoint_id in endpoint_ids
+        )
+        self._silence_factor = (
+            1.0
+            if failed or unhealthy
+            else min(MAX_SILENCE_FACTOR, self._silence_factor * SILENCE_FACTOR_GROWTH)
+        )
+
+    async def _probe(self, endpoint_id: str, failed: list[str]) -> None:
+        record = self._directory.records.get(endpoint_id)
         if record is None:
             return
-        patience_s = PATIENT_S if record.down else ANSWER_S
+        timeout_s = RELAXED_PROBE_TIMEOUT_S if record.down else PROBE_TIMEOUT_S
         began = time.monotonic()
-        deadline = began + patience_s
+        deadline = began + timeout_s
         try:
-            report = await self.report(record.endpoint, patience_s)
+            report = await self.fetch_report(record.endpoint, timeout_s)
         except TransportError:
-            late = time.monotonic() - deadline >= OWN_DELAY_S
-            if not late and self._awake_at < began:
-                failed.append(key)
+            late = time.monotonic() - deadline >= STALL_S
+            if not late and self._reading_since < began:
+                failed.append(endpoint_id)
             return
         except DecodeError as exc:
             # It answers; a plain service has no such call.
-            logger.debug("no report", endpoint=key, cause=str(exc))
+            logger.debug("no report", endpoint=endpoint_id, cause=str(exc))
             return
-        self._directory.set_down(key, down=False)
-        self._directory.reported(key, report)
+        self._directory.set_down(endpoint_id, down=False)
+        self._directory.apply_report(endpoint_id, report)
 
-    async def report(
-        self, endpoint: Endpoint, patience_s: float = PATIENT_S
+    async def fetch_report(
+        self, endpoint: Endpoint, timeout_s: float = RELAXED_PROBE_TIMEOUT_S
     ) -> EndpointReport:
         """Return an endpoint's state; raise ``TransportError`` or ``DecodeError``."""
-        deadline = time.monotonic() + patience_s
+        deadline = time.monotonic() + timeout_s
         response = await call_endpoint(endpoint, self._dialect.report_call(), deadline)
         if response.head.status != 200:
             raise DecodeError(f"status {response.head.status}")
--- a/packages/router/src/hemlockhall_router/process/replica_index.py
+++ b/packages/router/src/hemlockhall_router/process/replica_index.py
@@ -16,11 +16,11 @@
 # Endpoints among which one request chooses its path, if there are more.
 SAMPLE_SIZE = 130
 # Replicas of the own data centre in a sample: one may be broken or full.
-HOME_REPLICAS = 2
+LOCAL_REPLICAS = 2
 
 
 @dataclass(slots=True)
-class _Entry:
+class _ServiceIndex:
     """One service; ``generation`` is that of the directory it was made from."""
 
     generation: int = -1
@@ -34,15 +34,15 @@
 
     def __init__(self, directory: Directory) -> None:
         self._directory = directory
-        self._entries: dict[str, _Entry] = {}
+        self._services: dict[str, _ServiceIndex] = {}
 
     def endpoints(self, service: str) -> list[EndpointRecord]:
         """Return all endpoints of a service."""
-        return self._entry(service, None).endpoints
+        return self._service_index(service, None).endpoints
 
     def division(self, service: str, model: Model) -> ReplicaDivision:
         """Return how the data centres of a service are divided."""
-        return self._entry(service, model).division
+        return self._service_index(service, model).division
 
     def sample(
         self,
@@ -57,45 +57,45 @@
         with ``first_endpoint_ids`` also the replicas of these endpoints. All of them
         if they are few.
         """
-        entry = self._entry(service, model)
-        if len(entry.endpoints) <= SAMPLE_SIZE:
-            return entry.endpoints
+        index = self._service_index(service, model)
+        if len(index.endpoints) <= SAMPLE_SIZE:
+            return index.endpoints
         chosen: set[Replica] = set()
-        for key in first_endpoint_ids or ():
-            record = self._directory.records.get(key)
+        for endpoint_id in first_endpoint_ids or ():
+            record = self._directory.records.get(endpoint_id)
             if record is not None:
-                chosen.add(entry.division.replica(record.endpoint))
-        near = [replica for replica in entry.replicas if replica.data_centre == home]
-        far = [replica for replica in entry.replicas if replica.data_centre != home]
-        random.shuffle(near)
-        random.shuffle(far)
-        chosen.update(near[:HOME_REPLICAS])
-        found = [record for replica in chosen for record in entry.replicas[replica]]
-        for replica in far:
+                chosen.add(index.division.replica(record.endpoint))
+        local = [replica for replica in index.replicas if replica.data_centre == home]
+        remote = [replica for replica in index.replicas if replica.data_centre != home]
+        random.shuffle(local)
+        random.shuffle(remote)
+        chosen.update(local[:LOCAL_REPLICAS])
+        found = [record for replica in chosen for record in index.replicas[replica]]
+        for replica in remote:
             if len(found) >= SAMPLE_SIZE:
                 break
             if replica not in chosen:
-                found += entry.replicas[replica]
+                found += index.replicas[replica]
         return found
 
-    def _entry(self, service: str, model: Model | None) -> _Entry:
-        entry = self._entries.setdefault(service, _Entry())
-        if entry.generation != self._directory.generation:
-            entry.generation = self._directory.generation
-            entry.endpoints = []
-            entry.replicas = {}
+    def _service_index(self, service: str, model: Model | None) -> _ServiceIndex:
+        index = self._services.setdefault(service, _ServiceIndex())
+        if index.generation != self._directory.generation:
+            index.generation = self._directory.generation
+            index.endpoints = []
+            index.replicas = {}
             for record in self._directory.records.values():
                 if record.endpoint.service == service:
-                    entry.endpoints.append(record)
-        if model is not None and not entry.replicas:
-            self._divide(entry, model)
-        return entry
-
-    def _divide(self, entry: _Entry, model: Model) -> None:
-        entry.division.update(model, [record.endpoint for record in entry.endpoints])
-        for record in entry.endpoints:
-            replica = entry.division.replica(record.endpoint)
-            entry.replicas.setdefault(replica, []).append(record)
+                    index.endpoints.append(record)
+        if model is not None and not index.replicas:
+            self._group_by_replica(index, model)
+        return index
+
+    def _group_by_replica(self, index: _ServiceIndex, model: Model) -> None:
+        index.division.update(model, [record.endpoint for record in index.endpoints])
+        for record in index.endpoints:
+            replica = index.division.replica(record.endpoint)
+            index.replicas.setdefault(replica, []).append(record)
 
 
 __all__ = [
--- a/tests/router/test_budget.py
+++ b/tests/router/test_budget.py
@@ -9,7 +9,7 @@
 
 from hemlockhall_router.membership.message import RetryUsage
 from hemlockhall_router.membership.tally import sum_usage
-from hemlockhall_router.process.budget import LAG_S, SAFETY_FACTOR, RetryBudget
+from hemlockhall_router.process.budget import SAFETY_FACTOR, USAGE_LAG_S, RetryBudget
 
 RATIO = 0.2
 CONSTANT = 248.0
@@ -21,7 +21,7 @@
 class Fleet:
     """Hosts that hear of each other's usage after a delay."""
 
-    def __init__(self, hosts: int = HOSTS, lag_s: float = LAG_S - STEP_S) -> None:
+    def __init__(self, hosts: int = HOSTS, lag_s: float = USAGE_LAG_S - STEP_S) -> None:
         self.now = 0.0
         self.told: deque[list[RetryUsage]] = deque(maxlen=max(1, round(lag_s / STEP_S)))
         self.parts: list[list[RetryBudget]] = []
@@ -150,7 +150,7 @@
         fresh.now = fleet.now
         fleet.budgets[:half] = fresh.budgets
         for budget in fresh.budgets:
-            budget._shared = fleet.shared
+            budget._cluster_usage = fleet.shared
         for _ in range(8):
             for host in range(HOSTS):
                 fleet.requests(host, 1)
--- a/tests/router/test_directory.py
+++ b/tests/router/test_directory.py
@@ -10,11 +10,11 @@
 
 from hemlockhall_router.membership.message import LayerUpdate, Load, endpoint_key
 from hemlockhall_router.process.directory import (
-    AVOID_S,
-    BUSY_S,
-    HEARD_AFTER_S,
-    ROOMY,
-    SETTLED_S,
+    BUSY_BACKOFF_S,
+    FAILURE_BACKOFF_S,
+    LOW_MEMORY_FRACTION,
+    REMOTE_EVENT_DELAY_S,
+    WARMUP_S,
     Directory,
     EndpointRecord,
 )
@@ -45,14 +45,17 @@
         and everybody was refused."""
         for _ in range(10):
             directory.record_failure("p1", "refused")
-        assert directory.records["p1"].backoff_deadline <= time.monotonic() + AVOID_S
+        assert (
+            directory.records["p1"].backoff_deadline
+            <= time.monotonic() + FAILURE_BACKOFF_S
+        )
 
     def test_failures_one_after_another_count_more(self, directory: Directory) -> None:
         record = directory.records["p1"]
         for _ in range(3):
             record.backoff_deadline = 0.0
             directory.record_failure("p1", "broken")
-        assert record.backoff_deadline > time.monotonic() + AVOID_S
+        assert record.backoff_deadline > time.monotonic() + FAILURE_BACKOFF_S
 
     def test_an_endpoint_without_room_is_left_out_briefly(
         self, directory: Directory
@@ -61,7 +64,7 @@
         for _ in range(5):
             record.backoff_deadline = 0.0
             directory.record_busy("p1")
-        assert record.backoff_deadline <= time.monotonic() + BUSY_S
+        assert record.backoff_deadline <= time.monotonic() + BUSY_BACKOFF_S
         assert record.failures == 0
 
 
@@ -75,7 +78,7 @@
     @pytest.fixture()
     def record(self, directory: Directory) -> EndpointRecord:
         record = directory.records["p1"]
-        record.changed_at -= 2 * SETTLED_S
+        record.layers_changed_at -= 2 * WARMUP_S
         return record
 
     def test_one_that_refuses_though_it_has_room_is_left_out(
@@ -83,7 +86,7 @@
     ) -> None:
         """Guards against paths through endpoints that leave while the store is away."""
         directory.record_refusal("p1")
-        directory.reported("p1", report(int(TOTAL * ROOMY / 2)))
+        directory.apply_report("p1", report(int(TOTAL * LOW_MEMORY_FRACTION / 2)))
         assert directory.usable("pool") == []
         assert directory.live_endpoints("pool") == []
         assert directory.presumed_draining_keys() == [endpoint_key("p1")]
@@ -93,19 +96,19 @@
     ) -> None:
         """Guards against a layout that gives up endpoints under load."""
         directory.record_refusal("p1")
-        directory.reported("p1", report(int(TOTAL * 0.6)))
+        directory.apply_report("p1", report(int(TOTAL * 0.6)))
         assert directory.usable("pool") == [record]
 
     def test_one_that_tells_no_memory_is_not(
         self, directory: Directory, record: EndpointRecord
     ) -> None:
         directory.record_refusal("p1")
-        directory.reported("p1", replace(report(0), memory_total=0))
+        directory.apply_report("p1", replace(report(0), memory_total=0))
         assert directory.usable("pool") == [record]
 
     def test_one_that_has_just_changed_is_not(self, directory: Directory) -> None:
         directory.record_refusal("p1")
-        directory.reported("p1", report(0))
+        directory.apply_report("p1", report(0))
         assert directory.usable("pool") == [directory.records["p1"]]
 
     def test_what_another_host_found_is_not_passed_on_as_its_own(
@@ -148,7 +151,7 @@
     def test_an_older_entry_of_the_store_reverts_nothing(
         self, directory: Directory
     ) -> None:
-        directory.reported("p1", report(0, orders=3, layers=LayerRange(4, 8)))
+        directory.apply_report("p1", report(0, orders=3, layers=LayerRange(4, 8)))
         row = EndpointRow("pool", 1, orders=2, layers=(0, 8))
         directory.apply_rows([Row("p1", msgspec.json.encode(row), 2)])
         assert directory.records["p1"].endpoint.layers == LayerRange(4, 8)
@@ -166,7 +169,7 @@
         record = directory.records["p1"]
         directory.set_remote_loads({record.key: Load(record.key, 1, 100, 0, 50)})
         assert record.down
-        record.down_at -= 2 * HEARD_AFTER_S
+        record.down_at -= 2 * REMOTE_EVENT_DELAY_S
         directory.set_remote_loads({record.key: Load(record.key, 1, 100, 0, 50)})
         assert not record.down
         assert record.load == 1
@@ -204,7 +207,7 @@
         )
         answer = replace(report(0, orders=1, layers=LayerRange(0, 4)), started_ms=7)
         directory.set_down("p1", down=True)
-        directory.reported("p1", answer)
+        directory.apply_report("p1", answer)
         self.restart(directory)
         directory.set_down("p1", down=False)
         assert directory.usable("pool") == [directory.records["p2"]]
--- a/tests/router/test_planner.py
+++ b/tests/router/test_planner.py
@@ -153,23 +153,23 @@
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         """Guards against a planner that calls all endpoints of a fleet at once."""
-        monkeypatch.setattr(planner, "ORDERS_MAX", 2)
+        monkeypatch.setattr(planner, "MAX_CONCURRENT_ORDERS", 2)
         most = 0
         async with router_harness(ROUTES) as harness:
             pool = [
                 await harness.start_endpoint(f"p{n}", unused, **EMPTY) for n in range(6)
             ]
-            turns = harness.routers[0]._planner._turns
+            limiter = harness.routers[0]._planner._order_limiter
             while any(endpoint.state.layers is None for endpoint in pool):
                 await anyio.sleep(0.01)
-                most = max(most, int(turns.borrowed_tokens))
+                most = max(most, int(limiter.borrowed_tokens))
         assert 0 < most <= 2
 
     async def test_a_layout_that_is_ordered_in_parts_stays_as_planned(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         """Guards against copies that are planned anew while half of them is ordered."""
-        monkeypatch.setattr(planner, "ORDERS_MAX", 1)
+        monkeypatch.setattr(planner, "MAX_CONCURRENT_ORDERS", 1)
         async with router_harness(ROUTES) as harness:
             pool = await laid_out(harness, 8)
             assert [len(endpoint.orders) for endpoint in pool] == [1] * 8
--- a/tests/router/test_prober.py
+++ b/tests/router/test_prober.py
@@ -49,8 +49,8 @@
         directory.records["p1"].last_event_at = directory.records[
             "p3"
         ].last_event_at = now
-        prober._find_silent()
-        assert prober._due() == ["p2"]
+        prober._check_silent_streams()
+        assert prober._take_due() == ["p2"]
         assert running.probe_requested
 
     def test_a_stream_that_waits_at_living_endpoints_is_looked_at_again(
@@ -61,11 +61,11 @@
         now = time.monotonic()
         for record in directory.records.values():
             record.last_event_at = now
-        prober._find_silent()
-        assert prober._due() == []
+        prober._check_silent_streams()
+        assert prober._take_due() == []
         directory.records["p2"].last_event_at = now - 10 * QUIET_S
-        prober._find_silent()
-        assert prober._due() == ["p2"]
+        prober._check_silent_streams()
+        assert prober._take_due() == ["p2"]
         assert running.probe_requested
 
 
@@ -76,11 +76,11 @@
         """Guards against endpoints found down after this host stood still."""
         prober = Prober(StandinDialect(), directory, lambda: 1)
         running = silent(directory)
-        prober._looked_at -= 10 * QUIET_S
-        prober._note_delay()
-        prober._find_silent()
-        assert prober._due() == []
+        prober._polled_at -= 10 * QUIET_S
+        prober._detect_stall()
+        prober._check_silent_streams()
+        assert prober._take_due() == []
         assert not running.probe_requested
-        prober._awake_at -= 10 * QUIET_S
-        prober._find_silent()
-        assert set(prober._due()) == {"p1", "p2", "p3"}
+        prober._reading_since -= 10 * QUIET_S
+        prober._check_silent_streams()
+        assert set(prober._take_due()) == {"p1", "p2", "p3"}
