--- a/packages/router/src/hemlockhall_router/process/addresses.py
+++ b/packages/router/src/hemlockhall_router/process/addresses.py
@@ -1,4 +1,4 @@
-"""Which endpoint runs at each address."""
+"""The current endpoint at each address."""
 
 from __future__ import annotations
 
@@ -9,17 +9,24 @@
 
 
 class AddressTable:
-    """The newest run at each address.
+    """The newest incarnation at each address.
 
-    A crashed endpoint keeps its entry for some heartbeats, and starts again at the
-    same address under another id meanwhile.
+    The store entry of a crashed endpoint outlives it by some heartbeats. The endpoint
+    may restart meanwhile, at the same address under another id.
     """
 
     def __init__(self) -> None:
         self._owners: dict[tuple[str, int], EndpointRecord] = {}
 
     def claim(self, record: EndpointRecord) -> EndpointRecord | None:
-        """Enter an endpoint; return the run at its address that has ended, if any."""
+        """Register an endpoint at its address.
+
+        Returns
+        -------
+        EndpointRecord or None
+            The older one of two endpoints at the address, which has ended; this can
+            be ``record`` itself if its entry arrived late.
+        """
         address = record.endpoint.address
         other = self._owners.get(address)
         if other is None or other is record or other.endpoint.address != address:
@@ -31,7 +38,7 @@
         return other
 
     def release(self, record: EndpointRecord) -> None:
-        """Remove an endpoint whose entry is gone."""
+        """Remove an endpoint from its address, if it is still registered there."""
         address = record.endpoint.address
         if self._owners.get(address) is record:
             del self._owners[address]
--- a/packages/router/src/hemlockhall_router/process/budget.py
+++ b/packages/router/src/hemlockhall_router/process/budget.py
@@ -1,4 +1,4 @@
-"""How often requests may be sent again, over all hosts together."""
+"""Retry budget that all hosts share."""
 
 from __future__ import annotations
 
@@ -11,50 +11,53 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# Part of the allowance that is used. Hosts that start anew have forgotten
-# what they spent, and two hosts' windows do not begin together.
+# Fraction of the budget that is spent at most. Restarted hosts have lost their counts,
+# and the windows of hosts do not begin together.
 SAFETY_FACTOR = 0.7
-# The window is counted in this many buckets.
+# Number of buckets in the sliding window.
 BUCKETS = 40
-# Part of its share that a host may spend whatever the others spend. The rest is
-# lent to hosts that need more.
+# Fraction of its share that a host may always spend. The rest is a pool for hosts that
+# need more.
 RESERVED_FRACTION = 0.5
-# Seconds after which all hosts have heard what a host spent.
+# Time after which all hosts know what a host spent.
 USAGE_LAG_S = 1.5
 
 
 @dataclass(slots=True)
 class _Counts:
+    """Requests and retries of one service, by bucket of the window."""
+
     requests: dict[int, int] = field(default_factory=dict)
     retries: dict[int, int] = field(default_factory=dict)
 
 
 class RetryBudget:
-    """Repeats of this host, for each service.
+    """This host's part of the retry budget, for each service.
 
-    The allowance of all hosts is a part of the requests and a constant. A host's
-    share of the constant follows from its part of the requests. A part of its share
-    is its own; the rest is a pool from which hosts draw what they need, each in
-    proportion to its share. What was drawn lately may be unknown to the others, so
-    all draws within ``LAG_S`` together stay within what is known to be left.
+    In each window all hosts together may send ``ratio`` retries for each request, and
+    ``constant`` more. A host's share of ``constant`` is proportional to its share of
+    the requests. ``RESERVED_FRACTION`` of a host's share is reserved for it; the rest
+    is a pool from which hosts borrow in proportion to their shares. Other hosts may not
+    know yet what was borrowed within the last ``USAGE_LAG_S`` seconds, so all of it
+    together stays within what is known to remain.
 
-    A host that has just started has forgotten what it spent: it keeps its whole
-    share for a window. So do hosts that are not heard, as far as the others know, so
-    the sum holds while hosts are cut off from one another.
+    A host that has just started does not know what it spent before, and reserves its
+    whole share for one window. The others leave unreachable hosts their whole shares,
+    so the total stays within the budget during a partition.
 
     Parameters
     ----------
     ratio : float
-        Repeats allowed for each request.
+        Retries allowed for each request.
     constant : float
-        Repeats allowed beyond that, for all hosts together.
+        Retries allowed in addition, for all hosts together.
     window_s : float
-        The window in seconds.
-    hosts : callable
-        Returns the most hosts that may be there.
-    shared : callable
-        Returns how many hosts are heard of, with this one, and the sum of what they
-        report as ``usage``.
+        Length of the window in seconds.
+    max_hosts : callable
+        Returns the largest number of hosts that may exist.
+    cluster_usage : callable
+        Returns the number of live hosts, with this one, and the sum of their
+        ``usage`` for each service.
     clock : callable
         Returns the time in seconds.
     """
@@ -78,11 +81,11 @@
         self._services: dict[str, _Counts] = {}
 
     def record_request(self, service: str) -> None:
-        """Count a caller's request for a service."""
+        """Count a request of a caller to a service."""
         _increment(self._counts(service).requests, self._bucket())
 
     def try_acquire(self, service: str) -> bool:
-        """Count a repeat and return True, or return False if none is left."""
+        """Take one retry from the budget; return False if none is left."""
         counts = self._counts(service)
         share = self._share(service)
         reserved = self._reserved(share)
@@ -93,7 +96,7 @@
         return True
 
     def usage(self) -> list[RetryUsage]:
-        """Return what this host tells the others of its use of the budget."""
+        """Return the usage that this host reports to the others."""
         found = []
         for service in self._services:
             counts = self._counts(service)
@@ -104,7 +107,7 @@
         return found
 
     def _reserved(self, share: float) -> float:
-        """Return what this host may spend whatever the others spend."""
+        """Return the retries that this host may always spend."""
         return (
             share
             if self._clock() < self._startup_deadline
@@ -112,7 +115,7 @@
         )
 
     def _borrowed(self, counts: _Counts, reserved: float) -> float:
-        """Return what was drawn so lately that others may not know of it."""
+        """Return the borrowed retries that other hosts may not know of yet."""
         oldest = self._bucket() - int(USAGE_LAG_S / self.window_s * BUCKETS) - 1
         earlier = 0
         for bucket, retries in counts.retries.items():
@@ -122,7 +125,7 @@
         return max(0.0, spent - reserved) - max(0.0, earlier - reserved)
 
     def _share(self, service: str) -> float:
-        """Return the repeats that fall to this host by what it receives."""
+        """Return this host's share of the budget, by its share of the requests."""
         requests = sum(self._counts(service).requests.values())
         live_hosts, total = self._usage_of_all(service)
         fraction = (requests + 1) / (max(requests, total.requests) + live_hosts)
@@ -130,10 +133,10 @@
         return SAFETY_FACTOR * (self.ratio * requests + self.constant * fraction)
 
     def _remaining(self, service: str, share: float) -> float:
-        """Return this host's part of what all hosts together have left."""
+        """Return this host's share of what all hosts have left."""
         live_hosts, total = self._usage_of_all(service)
         counts = self._counts(service)
-        # What it told the others may not have come back yet.
+        # The total may not include this host's latest counts yet.
         requests = max(total.requests, sum(counts.requests.values()))
         spent = max(sum(counts.retries.values()), self._reserved(share))
         spent = max(total.retries, spent)
@@ -144,7 +147,7 @@
         return (budget - spent) * share / budget
 
     def _usage_of_all(self, service: str) -> tuple[int, RetryUsage]:
-        """Return how many hosts are heard of, and the sum of their use."""
+        """Return the number of live hosts and the sum of their usage."""
         live_hosts, usages = self._cluster_usage()
         key = service_key(service)
         for usage in usages:
--- a/packages/router/src/hemlockhall_router/process/chooser.py
+++ b/packages/router/src/hemlockhall_router/process/chooser.py
@@ -1,4 +1,4 @@
-"""Choice of an endpoint or of a path for a request."""
+"""Selection of an endpoint or a path for a request."""
 
 from __future__ import annotations
 
@@ -24,25 +24,37 @@
     from hemlockhall_router.version.path import Path
     from hemlockhall_router.version.routing import Model, Service
 
-# Spread of the costs of endpoints, either way. Hosts know of each other's requests
-# with a delay; without it all would choose the same endpoints meanwhile.
+# Relative jitter of endpoint costs, in both directions. Hosts learn of each other's
+# requests with a delay; without jitter all would choose the same endpoints meanwhile.
 COST_JITTER = 0.1
-# Milliseconds a hop to another data centre costs for each token at least.
+# Least cost of a hop to another data centre, in milliseconds per token.
 MIN_CROSS_DATA_CENTRE_MS = 2.0
-# Backlog of a pipe, in seconds, that leaves a prompt time to be read in its
-# objective.
+# Backlog of a data centre link up to which a prompt can be processed within its
+# latency objective.
 LINK_BACKLOG_LIMIT_S = 0.15
-# Seconds for which no request looks for a path after a search over all endpoints
-# found none. Many streams wait then, and searching for each would keep the host
-# from passing on the events of the others.
+# Time without path searches after one over all endpoints found no path. Many streams
+# wait in that case, and a search for each would keep the host from relaying the events
+# of the others.
 NO_PATH_BACKOFF_S = 0.05
-# Factor on the cost of an endpoint whose entry lapsed: it may have left, and is
-# used only where the others are far slower or full.
+# Cost factor of an endpoint whose entry lapsed. It may have left, so it is used only
+# if the others are far slower or full.
 LAPSED_ENTRY_FACTOR = 5.0
 
 
 class Chooser:
-    """Chooses among the endpoints in the directory."""
+    """Selects the cheapest endpoint or path among those in the directory.
+
+    Parameters
+    ----------
+    directory : Directory
+        The known endpoints.
+    home : str
+        Data centre of this host.
+    data_centre_links : DataCentreLinks
+        Backlog of the links between data centres.
+    host_count : callable
+        Returns the number of hosts in this data centre.
+    """
 
     def __init__(
         self,
@@ -62,7 +74,7 @@
     def choose_endpoint(
         self, service: str, excluded: set[str]
     ) -> EndpointRecord | None:
-        """Return the endpoint where a plain request waits least."""
+        """Return the endpoint with the least expected wait, or None."""
         best: EndpointRecord | None = None
         least = float("inf")
         for record in self._directory.usable(service):
@@ -84,18 +96,18 @@
         first_endpoint_ids: frozenset[str] | None = None,
         tokens: int = 0,
     ) -> Path | None:
-        """Return the path where a generation runs fastest and has room.
+        """Return the cheapest path for a generation, or None if there is none.
 
         Parameters
         ----------
         service : Service
-            The service; it has a path only if it has a model.
+            The service; one without a model has no path.
         excluded : set of str
-            Ids of endpoints that failed this request.
+            Ids of endpoints that must not be on the path.
         first_endpoint_ids : frozenset of str, optional
-            Ids of the endpoints that may receive the request.
+            Ids of the endpoints that may be the first on the path.
         tokens : int
-            Tokens of the request.
+            Tokens of the request, prompt and output.
         """
         model = service.model
         if model is None:
@@ -111,7 +123,7 @@
         return path
 
     def seconds_without_path(self, service: str) -> float:
-        """Return for how many seconds there has been no path at all."""
+        """Return the seconds since a path was last found, or since the start."""
         return time.monotonic() - self._path_found_at.get(service, self._started_at)
 
     def _find(
@@ -143,7 +155,7 @@
         tokens: int,
         first_endpoint_ids: frozenset[str] | None,
     ) -> Path | None:
-        # A prompt is read later by the time that its activations take the pipe.
+        # The transfer of a prompt's activations delays its processing.
         link_ms = MIN_CROSS_DATA_CENTRE_MS + PREFILL_WEIGHT * 1000 * transfer_s(
             model, tokens
         )
@@ -176,7 +188,7 @@
 def _endpoint_cost(
     record: EndpointRecord, model: Model, slots: int, tokens: int, host_count: int
 ) -> EndpointCost:
-    """Return what one more request at an endpoint costs."""
+    """Return the cost of one more request at an endpoint."""
     factor = record.slowdown * random.uniform(1 - COST_JITTER, 1 + COST_JITTER)  # noqa: S311
     if record.entry_lapsed:
         factor *= LAPSED_ENTRY_FACTOR
--- a/packages/router/src/hemlockhall_router/process/directory.py
+++ b/packages/router/src/hemlockhall_router/process/directory.py
@@ -1,4 +1,4 @@
-"""What this host knows of the endpoints, and which of them it uses."""
+"""Registry of endpoints with their health and load as seen by this host."""
 
 from __future__ import annotations
 
@@ -23,51 +23,57 @@
     from hemlockhall_router.request.active_stream import ActiveStream
     from hemlockhall_router.version.endpoint import Endpoint, EndpointReport
 
-# Seconds an endpoint that failed is left out, doubled with each failure in a
-# row: long enough for a restart of a process, short enough to try again soon.
+# Backoff after a failure, doubled with each consecutive one up to the maximum: long
+# enough for a process to restart, short enough to use the endpoint again soon.
 FAILURE_BACKOFF_S = 0.5
 MAX_FAILURE_BACKOFF_S = 4.0
-# Seconds an endpoint that has no room is left out; requests there end all the time.
+# Backoff of a full endpoint; short, as its requests keep ending.
 BUSY_BACKOFF_S = 0.2
-# Part of the streams on a leaving endpoint that go on elsewhere together: all at
-# once find the memory of the other endpoints full.
+# Fraction of the streams of a draining endpoint that are moved together. Moving all
+# at once would fill the memory of the other endpoints.
 MOVE_FRACTION = 0.35
-# Weight of the newest value in moving averages.
+# Weight of the newest sample in the moving average of the latency.
 EWMA_WEIGHT = 0.2
-# Change of an endpoint's pace that is acted on.
+# Change of an endpoint's slowdown that updates the record, and excess over 1.0 that
+# marks the endpoint as slow.
 SLOWDOWN_THRESHOLD = 0.3
-# Seconds after an endpoint was found down from which an event that came through it
-# at another host shows that it lives: messages between hosts take a while.
+# Time after an endpoint went down from which an event at another host shows that it
+# is up. Earlier events may predate the failure, as messages between hosts are delayed.
 REMOTE_EVENT_DELAY_S = 0.3
-# Seconds after a refusal for which a report says why, and part of an endpoint's
-# memory up to which it has room for any request.
+# Age of a refusal up to which a report is taken to explain it.
 REFUSAL_WINDOW_S = 1.0
+# Fraction of an endpoint's memory in use below which it has room for any request.
 LOW_MEMORY_FRACTION = 0.25
-# Seconds after its start, or after its layers changed, from which it is judged so:
-# before, it refuses for other reasons.
+# Time after a start or a change of layers in which a refusal does not count as
+# draining, as the endpoint then refuses for other reasons.
 WARMUP_S = 2.0
-# Seconds for which an endpoint that seems to leave is left out, by the host that
-# found it and by those that heard of it: as long as that host says so.
+# Time for which an endpoint is presumed to be draining, at the host that detected it
+# and at those that it tells. The latter keep it out as long as the former repeats it.
 PRESUMED_DRAINING_S = 2.0
 REMOTE_PRESUMED_DRAINING_S = 1.0
-# Seconds for which a run whose entry is gone may go on: as long as any stream lasts.
+# Time for which an incarnation without an entry may still run: as long as any stream
+# lasts.
 ORPHAN_S = 30.0
 NO_LOAD = Load(0, 0, 0, 0, MAX_EVENT_AGE_MS)
-# Latency assumed of an endpoint that has not answered yet, in seconds.
+# Latency assumed of an endpoint that has not responded yet.
 INITIAL_LATENCY_S = 0.1
 
 
 @dataclass(slots=True)
 class EndpointRecord:
-    """An endpoint, and what this host has seen of it.
-
-    ``tokens`` are those of its requests, ``prefill_tokens`` those of the requests
-    without an event so far, whose prompts it still reads; ``remote_in_flight``,
-    ``remote_tokens`` and ``remote_prefill_tokens`` are the same of other hosts there.
-    ``ahead`` tells that its layers are newer than its entry in the store,
-    ``replaced`` that another run has its address by now.
-    An event came through it at ``last_event_at``, here or at another host, and here at
-    ``last_local_event_at``.
+    """An endpoint with what this host has observed of it.
+
+    Times are monotonic. ``in_flight`` and ``tokens`` count this host's requests and
+    their tokens, ``prefill_tokens`` the tokens of requests that have no event yet. The
+    fields ``remote_...`` are the same for all other hosts.
+
+    ``key`` is the endpoint's number in messages between hosts. ``entry_grace_deadline``
+    is set while the store has no entry of the endpoint, which may come back until
+    then. ``ahead_of_store`` is True if the layers are newer than the store's entry, and
+    ``replaced`` if another incarnation has taken the address.
+    ``presumed_draining_here`` is True if this host detected it, not another one.
+    ``last_event_at`` is the time of the last event through the endpoint at any host,
+    ``last_local_event_at`` at this host.
     """
 
     endpoint: Endpoint
@@ -99,28 +105,28 @@
 
     @property
     def unhealthy(self) -> bool:
-        """Whether it should be asked again without a new reason."""
+        """Whether it is down or slow, and so probed regularly."""
         if self.replaced:
             return False
         return self.down or self.slowdown > 1.0 + SLOWDOWN_THRESHOLD
 
     @property
     def entry_lapsed(self) -> bool:
-        """Whether its entry lapsed, and it is not known yet whether it left."""
+        """Whether the store entry is missing but may still come back."""
         return self.entry_grace_deadline is not None
 
     @property
     def load(self) -> int:
-        """Requests of all hosts there, as far as is known."""
+        """Requests in flight from all hosts, as last reported."""
         return self.in_flight + self.remote_in_flight
 
     @property
     def token_load(self) -> int:
-        """Tokens of the requests of all hosts there, as far as is known."""
+        """Tokens of the requests in flight from all hosts, as last reported."""
         return self.tokens + self.remote_tokens
 
     def reset(self) -> None:
-        """Forget what was seen of an earlier run."""
+        """Discard the observations of an earlier incarnation."""
         self.failures = 0
         self.backoff_deadline = 0.0
         self.down = False
@@ -129,11 +135,11 @@
         self.replaced = False
 
     def presumed_draining(self, now: float) -> bool:
-        """Return whether it seems to leave without a word in the store."""
+        """Return whether it is presumed to drain without a notice in the store."""
         return now < self.presumed_draining_deadline
 
     def usable(self, now: float) -> bool:
-        """Return whether a new request may go there."""
+        """Return whether it may receive a new request."""
         if self.endpoint.draining or self.replaced:
             return False
         if self.down or self.presumed_draining(now):
@@ -142,19 +148,20 @@
 
 
 class Directory:
-    """All endpoints by id.
+    """The known endpoints by id.
 
-    ``version`` counts changes, ``generation`` those of which endpoints there are.
+    ``version`` grows with each change of the endpoints or their health, ``generation``
+    with each change of the set of incarnations.
 
     Parameters
     ----------
     decode : callable
-        Returns the endpoint that a row names, or None.
-    outage : callable
-        Returns the monotonic time until which a missing entry may come back,
-        or 0 if the store was there all the while.
+        Returns the endpoint in a row's key and value, or None if there is none.
+    grace_deadline : callable
+        Returns the monotonic time until which a missing entry may come back, or 0
+        if the store was reachable throughout.
     timing : Timing
-        When the streams of a leaving endpoint go on elsewhere.
+        Delays after which the streams of a draining endpoint are moved.
     """
 
     def __init__(
@@ -176,7 +183,7 @@
         self._orphan_deadlines: dict[tuple[str, int], float] = {}
 
     def apply_rows(self, rows: list[Row]) -> None:
-        """Act on changed rows of the endpoint table."""
+        """Apply changed rows of the endpoint table."""
         for row in rows:
             endpoint = None
             if not row.deleted:
@@ -188,7 +195,7 @@
         self._bump_version()
 
     def add(self, endpoint: Endpoint) -> EndpointRecord:
-        """Enter a new endpoint, and return its record."""
+        """Add an endpoint and return its record."""
         record = EndpointRecord(endpoint, key=endpoint_key(endpoint.id))
         self.records[endpoint.id] = record
         self.generation += 1
@@ -231,9 +238,10 @@
             record.layers_changed_at = time.monotonic()
 
     def _claim_address(self, record: EndpointRecord) -> None:
-        """Take the address of an endpoint from a run there that has ended.
+        """Mark an older incarnation at the same address as replaced.
 
-        The new run answers for the old one there, which would seem to be back.
+        The newer one answers probes of that address, which would otherwise make the
+        older one look alive.
         """
         ended = self._addresses.claim(record)
         if ended is None:
@@ -248,7 +256,7 @@
         _move_streams(ended, "endpoint replaced")
 
     def _merge_layers(self, record: EndpointRecord, entry: Endpoint) -> Endpoint:
-        """Return an entry of the store, with layers that are newer than it."""
+        """Return a store entry, keeping layers that are known to be newer."""
         old = record.endpoint
         if record.ahead_of_store and old.incarnation == entry.incarnation:
             if entry.order_count < old.order_count:
@@ -257,7 +265,7 @@
         return entry
 
     def layer_updates(self) -> list[LayerUpdate]:
-        """Return the layers that the store does not tell yet."""
+        """Return the layers that are newer than the store's entries."""
         found = []
         for record in self.records.values():
             endpoint = record.endpoint
@@ -276,10 +284,10 @@
         return found
 
     def apply_layer_updates(self, updates: list[LayerUpdate]) -> None:
-        """Take layers that another host knows from the endpoints themselves.
+        """Apply layers that another host learned from the endpoints themselves.
 
-        While the store is away nobody else learns what the planner's orders
-        changed, and sends requests along layers that are no longer there.
+        While the store is unreachable, a host without these updates does not see what
+        the planner's orders changed, and routes requests to layers that are gone.
         """
         by_key = {record.key: record for record in self.records.values()}
         for update in updates:
@@ -300,9 +308,9 @@
         if record is None:
             return
         deadline = self._grace_deadline()
-        # While the store was away it removes entries of endpoints that could
-        # not reach it. Dropping them all at once would refuse every request
-        # though nothing failed; they are back soon, or they are gone.
+        # After an outage the store removes the entries of endpoints that could not
+        # renew them. Removing these endpoints at once would refuse every request
+        # although none failed, so their entries get time to come back.
         if row.deleted and time.monotonic() < deadline and not record.endpoint.draining:
             record.entry_grace_deadline = deadline
             return
@@ -313,7 +321,7 @@
         self._addresses.release(record)
         self.generation += 1
         if not record.down and not record.replaced:
-            # Some endpoints leave without a word, and serve on without an entry.
+            # Some endpoints remove their entry and keep serving without one.
             deadline = time.monotonic() + ORPHAN_S
             self._orphan_deadlines[record.endpoint.incarnation] = deadline
         if record.active_streams:
@@ -325,13 +333,13 @@
         logger.info("endpoint gone", endpoint=endpoint_id, cause=cause)
 
     def process_deadlines(self) -> None:
-        """Drop the endpoints that did not come back in time."""
+        """Remove lapsed endpoints and move streams off draining ones."""
         now = time.monotonic()
         for endpoint_id in list(self.records):
             deadline = self.records[endpoint_id].entry_grace_deadline
             if deadline is None:
                 continue
-            # Another host may have had the store all the while.
+            # 0: another host reached the store throughout, so the entry is gone.
             if now >= deadline or self._grace_deadline() == 0.0:
                 self._remove(endpoint_id, "did not come back after the outage")
                 self._bump_version()
@@ -350,10 +358,10 @@
                 del self._orphan_deadlines[incarnation]
 
     def may_still_run(self, endpoint: Endpoint) -> bool:
-        """Return whether this run of an endpoint has not ended, for all we know.
+        """Return whether this incarnation of an endpoint may still be running.
 
-        One that does not answer may still run what it was sent: it can be cut
-        off, or slow to say how it is.
+        One that does not answer probes may still execute its requests: it can be
+        partitioned from this host or slow to answer.
         """
         record = self.records.get(endpoint.id)
         if record is not None and record.endpoint.incarnation == endpoint.incarnation:
@@ -364,7 +372,7 @@
         self.version += 1
 
     def usable(self, service: str) -> list[EndpointRecord]:
-        """Return the endpoints of a service that new requests may use."""
+        """Return the endpoints of a service that may receive new requests."""
         now = time.monotonic()
         found = []
         for record in self.replica_index.endpoints(service):
@@ -373,7 +381,7 @@
         return found
 
     def live_endpoints(self, service: str) -> list[Endpoint]:
-        """Return the endpoints of a service that live and do not leave."""
+        """Return the endpoints of a service that are up and not draining."""
         now = time.monotonic()
         found = []
         for record in self.replica_index.endpoints(service):
@@ -386,9 +394,9 @@
         return found
 
     def record_failure(self, endpoint_id: str, cause: str) -> None:
-        """Leave an endpoint out for a while."""
+        """Count a failure of an endpoint and start its backoff."""
         record = self.records.get(endpoint_id)
-        # Requests that were there together fail together; that is one failure.
+        # Requests in flight at the same time fail together: one failure.
         if record is None or time.monotonic() < record.backoff_deadline:
             return
         record.failures += 1
@@ -405,7 +413,7 @@
         self._bump_version()
 
     def record_busy(self, endpoint_id: str) -> None:
-        """Leave an endpoint out that has no room; it did not fail."""
+        """Start the backoff of a full endpoint, without counting a failure."""
         record = self.records.get(endpoint_id)
         if record is None or time.monotonic() < record.backoff_deadline:
             return
@@ -419,7 +427,7 @@
         self._bump_version()
 
     def record_refusal(self, endpoint_id: str) -> None:
-        """Note that an endpoint refused a request, whatever for."""
+        """Record the time at which an endpoint refused a request, for any reason."""
         record = self.records.get(endpoint_id)
         if record is not None:
             record.refused_at = time.monotonic()
@@ -427,11 +435,11 @@
     def _check_presumed_draining(
         self, record: EndpointRecord, report: EndpointReport
     ) -> None:
-        """Tell an endpoint that leaves from one that is full.
+        """Presume that an endpoint is draining if it refuses though it has room.
 
-        While the store is away an endpoint that leaves cannot say so. It refuses
-        what is new and looks sound otherwise; tried again and again by all
-        hosts, it fails most paths, each of which has a dozen endpoints.
+        While the store is unreachable a draining endpoint cannot announce it. It
+        refuses new requests and looks healthy otherwise. As all hosts keep trying it,
+        and a path has a dozen endpoints, it would fail most paths.
         """
         now = time.monotonic()
         if now - record.refused_at > REFUSAL_WINDOW_S or report.busy or report.queued:
@@ -439,7 +447,7 @@
         if now - record.layers_changed_at < WARMUP_S:
             return
         if report.memory_used >= report.memory_total * LOW_MEMORY_FRACTION:
-            # It is full, or does not tell.
+            # It is full, or reports no memory.
             return
         record.refused_at = float("-inf")
         record.presumed_draining_deadline = now + PRESUMED_DRAINING_S
@@ -453,7 +461,7 @@
         self._bump_version()
 
     def apply_presumed_draining(self, keys: list[int]) -> None:
-        """Take which endpoints seem to leave from another host."""
+        """Apply another host's list of endpoints that it presumes to be draining."""
         deadline = time.monotonic() + REMOTE_PRESUMED_DRAINING_S
         known = set(keys)
         for record in self.records.values():
@@ -463,7 +471,7 @@
                 )
 
     def presumed_draining_keys(self) -> list[int]:
-        """Return which endpoints this host found to leave."""
+        """Return the keys of endpoints that this host presumes to be draining."""
         now = time.monotonic()
         found = []
         for record in self.records.values():
@@ -475,7 +483,7 @@
         return found
 
     def record_success(self, endpoint_id: str, latency_s: float) -> None:
-        """Note an answer, and the time to its first byte."""
+        """Reset the failures and average the time to the first byte."""
         record = self.records.get(endpoint_id)
         if record is None:
             return
@@ -483,7 +491,7 @@
         record.latency_s += EWMA_WEIGHT * (latency_s - record.latency_s)
 
     def set_down(self, endpoint_id: str, *, down: bool) -> None:
-        """Note whether an endpoint answers when asked for its state."""
+        """Mark an endpoint as down or up; move its streams if it went down."""
         record = self.records.get(endpoint_id)
         if record is None or record.down == down:
             return
@@ -499,18 +507,20 @@
             _move_streams(record, "endpoint down")
 
     def apply_report(self, endpoint_id: str, report: EndpointReport) -> None:
-        """Take what an endpoint says of itself, if it is the same run."""
+        """Apply an endpoint's report unless the incarnation was replaced."""
         record = self.records.get(endpoint_id)
         if record is None or record.replaced:
             return
         self._check_presumed_draining(record, report)
         old = record.endpoint
         if abs(record.slowdown - report.slowdown) > SLOWDOWN_THRESHOLD:
-            logger.info("endpoint pace", endpoint=endpoint_id, pace=report.slowdown)
+            logger.info(
+                "endpoint slowdown changed", endpoint=endpoint_id, pace=report.slowdown
+            )
             record.slowdown = max(1.0, report.slowdown)
             self._bump_version()
         if report.started_ms and old.started_ms and report.started_ms != old.started_ms:
-            # A restarted endpoint holds nothing of before.
+            # A restarted endpoint has lost all state of the earlier incarnation.
             record.endpoint = replace(
                 old,
                 started_ms=report.started_ms,
@@ -521,7 +531,7 @@
             _move_streams(record, "endpoint restarted")
             return
         if report.order_count < old.order_count:
-            # The report is older than what is known.
+            # The report is older than the known layers.
             return
         if old.layers != report.layers or old.order_count != report.order_count:
             record.endpoint = replace(
@@ -538,7 +548,7 @@
         return record is not None and record.unhealthy
 
     def set_remote_loads(self, loads: dict[int, Load]) -> None:
-        """Take what the other hosts have at each endpoint, by its key."""
+        """Set the load that the other hosts report, by endpoint key."""
         now = time.monotonic()
         for record in self.records.values():
             load = loads.get(record.key, NO_LOAD)
@@ -548,11 +558,11 @@
             event_at = now - load.event_age_ms / 1000
             record.last_event_at = max(record.last_event_at, event_at)
             if record.down and event_at > record.down_at + REMOTE_EVENT_DELAY_S:
-                # It serves others, so the fault was on the way from here.
+                # It serves other hosts, so only the route from this host failed.
                 self.set_down(record.endpoint.id, down=False)
 
     def _move_batch(self, record: EndpointRecord, cause: str, now: float) -> None:
-        """Ask some of the streams that an endpoint still serves to go on elsewhere."""
+        """Request the move of a fraction of an endpoint's streams."""
         due = []
         for stream in record.active_streams:
             if now - stream.move_requested_at > self._timing.move_retry_s:
--- a/packages/router/src/hemlockhall_router/process/leadership.py
+++ b/packages/router/src/hemlockhall_router/process/leadership.py
@@ -1,4 +1,4 @@
-"""Which host gives orders to endpoints."""
+"""Election of the host that plans the layout."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
     from hemlockhall_router.membership.hosts import Membership
     from hemlockhall_router.process.lease import Lease
 
-# Seconds between tries to acquire or renew the lease.
+# Time between attempts to acquire or to renew the lease.
 ACQUIRE_INTERVAL_S = 1.0
 RENEW_RETRY_S = 0.2
-# Seconds without an answer of the store, and without a host that holds the lease,
-# from which one host plans without it: as long as the lease lasts.
+# Time without a response of the store, and without a holder of the lease, after which
+# one host plans without it: the time to live of the lease.
 FALLBACK_AFTER_S = 3.0
 
 
 class Leadership:
-    """Whether this host plans.
+    """Decides whether this host plans.
 
-    The holder of the lease does. While the store is away nobody can acquire
-    it, and a holder that ends or dies then would leave lost layers unreplaced
-    for as long as the outage lasts: the copy they belong to serves nothing. The
-    first of the live hosts by name therefore stands in. Two of them, cut off
-    from each other, could give contrary orders; that costs loads but harms
-    nothing, as each order names the number of orders that it follows, and the
-    endpoint refuses it if that has passed.
+    The holder of the lease plans. While the store is unreachable no host can acquire
+    the lease. If the holder ends in such an outage, layers that are lost would leave a
+    coverage gap until the store is back, and their copy would serve no requests. The
+    live host with the lowest name therefore plans without the lease, as a fallback. In
+    a partition two such hosts could send contrary orders. That costs additional loads
+    but is safe: an order names the number of orders before it, and the endpoint refuses
+    it if it has begun more.
     """
 
     def __init__(self, lease: Lease, membership: Membership) -> None:
@@ -39,7 +39,7 @@
         self._leaving = False
 
     async def may_plan(self) -> bool:
-        """Return whether this host may give orders now."""
+        """Return whether this host may send orders now; renews the lease if due."""
         lease, now = self._lease, time.monotonic()
         peer_fence = self._membership.newest_fence()
         if lease.fence and peer_fence > lease.fence:
@@ -53,7 +53,7 @@
             self._set_fallback(False)
             return False
         if not self._membership.is_hub:
-            # Hubs are enough: a try of each host costs a call to the store.
+            # Only hubs try, as each attempt costs a call to the store.
             self._set_fallback(False)
             return False
         if now >= self._next_attempt:
@@ -64,7 +64,7 @@
         return lease.fence > 0 or self._fallback
 
     async def resign(self) -> None:
-        """Leave planning to another host; go on while there is none."""
+        """Leave planning to another host, or continue while there is none."""
         self._leaving = True
         if self._membership.has_active_peer():
             await self._lease.release()
--- a/packages/router/src/hemlockhall_router/process/lease.py
+++ b/packages/router/src/hemlockhall_router/process/lease.py
@@ -1,4 +1,4 @@
-"""The lease under which one host plans the layout."""
+"""Lease in the store that elects the host that plans the layout."""
 
 from __future__ import annotations
 
@@ -19,25 +19,25 @@
     from hemlockhall_router.process.store import Row
 
 LEASE_KEY = "planner"
-# Seconds the lease lasts: how long nobody plans after its holder died.
+# Time to live of the lease; no host plans for that long after its holder died.
 TTL_S = 3.0
-# Seconds between renewals; one may be lost.
+# Time between renewals, short enough for one to fail.
 RENEW_INTERVAL_S = 1.0
-# Seconds a call may take.
+# Timeout of a call to the store.
 CALL_TIMEOUT_S = 0.8
 
 
 def boottime_s() -> float:
-    """Return a clock that goes on while the host is suspended.
+    """Return the seconds since boot, including time in which the host was suspended.
 
-    A holder that was suspended must see on waking that its lease has lapsed;
-    the monotonic clock would still show it as valid.
+    A holder that resumes after a suspension must see that its lease has expired. By
+    the monotonic clock it would still be valid.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class LeaseRow(msgspec.Struct):
-    """Who holds the lease, until when by the store's clock."""
+    """Holder of the lease, and its expiry ``until_s`` by the store's clock."""
 
     holder: str
     boot: str
@@ -45,12 +45,21 @@
 
 
 class Lease:
-    """This host's part in the lease.
-
-    ``fence`` is the version of the row's first write by this holder; it only
-    grows from holder to holder, so endpoints can refuse an older holder.
-    ``silent_since`` is the monotonic time since which the store has not
-    answered, or None.
+    """The planning lease, as this host holds it or not.
+
+    ``fence`` is the fencing token, or 0 if this host is not the holder: the version of
+    the holder's first write of the row. It grows from holder to holder, so endpoints
+    can refuse an older one. ``unreachable_since`` is the monotonic time since which
+    calls to the store have failed, or None.
+
+    Parameters
+    ----------
+    store : Store
+        Keeps the lease's row.
+    name : str
+        Name of this host.
+    boot : str
+        Identifies this run of the host's process.
     """
 
     def __init__(self, store: Store, name: str, boot: str) -> None:
@@ -65,7 +74,7 @@
 
     @property
     def held(self) -> bool:
-        """Whether this host is the holder and its lease has not lapsed."""
+        """Whether this host holds the lease and it has not expired."""
         return self.fence > 0 and boottime_s() < self._deadline
 
     @property
@@ -74,13 +83,13 @@
         return boottime_s() > self._deadline - TTL_S + RENEW_INTERVAL_S
 
     def mark_lost(self, cause: str) -> None:
-        """Stop holding the lease."""
+        """Stop acting as the holder, without a write to the store."""
         if self.fence:
             logger.warning("lease lost", fence=self.fence, cause=cause)
         self.fence = 0
 
     async def acquire_or_renew(self) -> None:
-        """Renew the lease, or acquire it if nobody holds it."""
+        """Renew the lease, or acquire it if no host holds it."""
         deadline = time.monotonic() + CALL_TIMEOUT_S
         try:
             if not self.fence:
@@ -99,7 +108,7 @@
             logger.info("lease not written", cause=str(exc), fence=self.fence)
 
     async def release(self) -> None:
-        """Let another host take over at once; keep it if the store is away."""
+        """Release the lease for another host; keep it if the store does not respond."""
         if not self.fence:
             return
         deadline = time.monotonic() + CALL_TIMEOUT_S
@@ -130,9 +139,9 @@
         try:
             lease_row = msgspec.json.decode(row.value, type=LeaseRow)
         except msgspec.DecodeError:
-            logger.warning("the lease's row cannot be read; it is written anew")
+            logger.warning("lease row unreadable; overwriting it")
             return False
-        # The row of an earlier run of this host: that run is over.
+        # An earlier run of this host wrote the row, and has ended.
         if lease_row.holder == self._name:
             return False
         return store_time_s < lease_row.until_s
@@ -148,7 +157,7 @@
         )
         self._store_clock = (written.store_time_s, boottime_s())
         self._version = written.version
-        # Counted from before the call, so it lapses here first.
+        # Counted from before the call, so that it expires here before the store.
         self._deadline = began + TTL_S
         if not self.fence:
             self.fence = written.version
--- a/packages/router/src/hemlockhall_router/process/planner.py
+++ b/packages/router/src/hemlockhall_router/process/planner.py
@@ -1,8 +1,8 @@
-"""Orders to endpoints, so that every layer is held where it should be.
+"""Planner that orders endpoints to load the layers of the layout.
 
-One host plans, under a lease. Orders are conditional on the number of orders
-that the endpoint began before: an order that arrives late, after newer ones,
-or from a host whose lease has lapsed, is refused by the endpoint itself.
+One host plans, under a lease. An order names the number of orders that the endpoint
+began before, and the lease's fencing token. The endpoint refuses an order that arrives
+after newer ones, or from a host whose lease has expired.
 """
 
 from __future__ import annotations
@@ -39,36 +39,37 @@
     from hemlockhall_router.version.replica import ReplicaDivision
     from hemlockhall_router.version.routing import Model, RoutingConfig
 
-# Seconds between two plans.
+# Time between two plans.
 PLAN_INTERVAL_S = 0.2
-# The same where nothing is known to have changed.
+# The same while nothing is known to have changed.
 IDLE_PLAN_INTERVAL_S = 1.0
-# Orders under way at once, as a multiple of the loads that the weight store serves
-# at full speed: the rest would wait there, and hold up those that come first.
+# Concurrent orders for each load that the weight store serves at full speed. More would
+# queue there and delay the loads that the layout needs first.
 ORDERS_PER_LOAD = 8
-# Orders under way at once at most: each takes connections of this host.
+# Each concurrent order takes connections of this host.
 MAX_CONCURRENT_ORDERS = 128
-# Seconds an order may take to be accepted.
+# Time within which an endpoint accepts an order.
 ORDER_TIMEOUT_S = 0.3
-# Times that an order without an answer is given.
+# Attempts to send an order that gets no response.
 ORDER_ATTEMPTS = 3
-# Seconds beyond the loading time until an order counts as lost.
+# Time beyond the expected load time after which an order counts as lost.
 LOAD_MARGIN_S = 3.0
-# Seconds before an order without an answer is looked into again.
+# Time for which an order whose attempts all got no response stays pending.
 UNCONFIRMED_ORDER_S = 1.5
-# Seconds between two looks at an order that is carried out.
+# Time between two reports while an order is being executed.
 REPORT_INTERVAL_S = 0.4
-# Seconds before an endpoint that refused an order, or is busy, is asked again.
+# Time without orders for an endpoint that refused one, is busy or sends no report.
 ORDER_BACKOFF_S = 0.5
 
 
 @dataclass(slots=True)
 class PendingOrder:
-    """An order that the endpoint does not show yet.
+    """An order whose layers the endpoint does not report yet.
 
-    ``deadline`` has no bound until its turn comes. ``immediate`` tells that it gives
-    layers up without waiting for the streams on them. ``follows`` is the number of
-    orders that the endpoint had begun when this one was ``sent``.
+    ``deadline`` is the monotonic time at which the order counts as lost, infinite while
+    it is queued. ``immediate`` makes the endpoint drop layers without waiting for the
+    streams on them. ``preceding_orders`` is the number of orders that the endpoint had
+    begun when this one was ``sent``.
     """
 
     layers: LayerRange
@@ -79,7 +80,27 @@
 
 
 class Planner:
-    """Plans while this host may give orders."""
+    """Plans the layout of each service while this host may send orders.
+
+    Parameters
+    ----------
+    dialect : Dialect
+        Encodes the orders.
+    directory : Directory
+        The known endpoints and their layers.
+    leadership : Leadership
+        Tells whether this host may plan.
+    lease : Lease
+        Provides the fencing token of orders.
+    prober : Prober
+        Fetches the endpoints' reports.
+    metrics : Metrics
+        Counts orders and refused plans.
+    routing : callable
+        Returns the configuration in force, or None before the first one.
+    timing : Timing
+        How long to wait for more endpoints before the first plan.
+    """
 
     def __init__(
         self,
@@ -146,9 +167,9 @@
             if self._is_fixed(by_id[endpoint_id], now)
         )
         division = self._directory.replica_index.division(service, model)
-        # A copy without some layers serves nobody. Waiting until the streams on
-        # an endpoint have ended leaves it so for as long as they take, which
-        # under load is many seconds; those few streams go on elsewhere.
+        # A copy with a gap serves no requests. Waiting for the streams on an endpoint
+        # would keep the gap open until they end, many seconds under load; the few
+        # streams are moved instead.
         immediate = not is_complete(model, members, serving, division)
         settled = self._settled_groups.setdefault(service, set())
         orders = plan_layout(
@@ -164,8 +185,8 @@
         for endpoint_id, layers in orders.items():
             if endpoint_id in fixed or endpoint_id in unroutable:
                 continue
-            # The whole plan counts as ordered at once: planned anew for the rest, a
-            # copy that is ordered in part would look broken.
+            # All orders of a plan become pending together. Otherwise the next plan
+            # would see a copy that is ordered in part, and repair its gaps.
             order = PendingOrder(layers, immediate=immediate)
             endpoint = by_id[endpoint_id]
             self._pending[endpoint.incarnation] = order
@@ -179,7 +200,7 @@
         planned: dict[str, LayerRange | None],
         division: ReplicaDivision,
     ) -> frozenset[str]:
-        """Return the endpoints that get no orders, as no request could use them."""
+        """Return the endpoints whose paths would have too many stages, and log them."""
         unroutable = endpoints_beyond_max_stages(model, members, planned, division)
         if unroutable:
             self._metrics.count("plans_refused", "too_many_parts")
@@ -187,13 +208,13 @@
                 "plan refused",
                 service=service,
                 endpoints=len(unroutable),
-                cause=f"its shortest path has more than {MAX_STAGES} parts; "
+                cause=f"its shortest path has more than {MAX_STAGES} stages; "
                 "add endpoints with more memory",
             )
         return unroutable
 
     def _drop_queued(self) -> None:
-        """Forget the orders whose turn has not come: another host plans now."""
+        """Drop the orders that were not sent yet, as another host plans now."""
         for incarnation, order in list(self._pending.items()):
             if order.deadline == float("inf"):
                 del self._pending[incarnation]
@@ -202,15 +223,15 @@
         present = {endpoint.incarnation for endpoint in members}
         known = self._known_incarnations.get(service, set())
         if present - known:
-            # All appear within one heartbeat, and a plan for half of them would
-            # have to be redone.
+            # Endpoints that start together appear within one heartbeat. A plan for
+            # only some of them would have to be redone.
             self._settle_deadlines[service] = now + self._timing.settle_time_s
         self._known_incarnations[service] = present
         for incarnation in known - present:
             self._pending.pop(incarnation, None)
 
     def _assigned_layers(self, endpoint: Endpoint, now: float) -> LayerRange | None:
-        """Return what an endpoint holds, or was ordered to hold."""
+        """Return an endpoint's layers, counting a pending order as done."""
         order = self._pending.get(endpoint.incarnation)
         if order is None:
             return endpoint.layers
@@ -220,7 +241,7 @@
         return order.layers
 
     def _is_fixed(self, endpoint: Endpoint, now: float) -> bool:
-        """Return whether an endpoint takes no order now."""
+        """Return whether an endpoint can take no other order now."""
         if endpoint.incarnation in self._pending:
             return True
         return now < self._backoff_deadlines.get(endpoint.id, 0.0)
@@ -228,11 +249,11 @@
     async def _run_order(
         self, endpoint: Endpoint, order: PendingOrder, model: Model
     ) -> None:
-        """Give an order when its turn comes, and watch until it is carried out.
+        """Send a queued order and wait until it is executed.
 
-        One without an answer is given again: it may be lost, or carried out
-        seconds later. Both name the same number of orders before them, so the
-        endpoint begins one of them and refuses the other.
+        An order without a response is sent again, as it may be lost or be executed
+        seconds later. Both name the same number of preceding orders, so the endpoint
+        executes one of them and refuses the other.
         """
         limit = min(
             MAX_CONCURRENT_ORDERS, ORDERS_PER_LOAD * max(1, model.concurrent_loads)
@@ -252,7 +273,7 @@
             order.deadline = time.monotonic() + UNCONFIRMED_ORDER_S
 
     async def _send_order(self, endpoint: Endpoint, order: PendingOrder) -> bool:
-        """Give an order once; return whether its outcome is known."""
+        """Send an order once; return whether its outcome is known."""
         try:
             report = await self._prober.fetch_report(endpoint)
         except (TransportError, DecodeError) as exc:
--- a/packages/router/src/hemlockhall_router/process/prober.py
+++ b/packages/router/src/hemlockhall_router/process/prober.py
@@ -1,4 +1,4 @@
-"""Asking of endpoints whether they still answer."""
+"""Health probes of endpoints."""
 
 from __future__ import annotations
 
@@ -22,38 +22,41 @@
     from hemlockhall_router.request.active_stream import ActiveStream
     from hemlockhall_router.version.endpoint import Endpoint, EndpointReport
 
-# Seconds in which an endpoint answers for its state unless it is dead or cut off:
-# a stream there has to go on elsewhere within its route's longest pause.
+# Time in which a live and reachable endpoint answers a probe. It is short because a
+# stream there must be moved within its route's longest event gap.
 PROBE_TIMEOUT_S = 0.035
-# Seconds allowed where nobody waits: after an order, or for one already down.
+# The same where no stream waits: after an order, or for an endpoint already down.
 RELAXED_PROBE_TIMEOUT_S = 0.4
-# Seconds between two questions to one endpoint, for each four hosts: all of them
-# ask, each question is priced, and an endpoint answers some hundred a second.
+# Time between two probes of an endpoint by one host, for every four hosts. All hosts
+# probe, each probe is billed, and an endpoint answers about a hundred a second.
 PROBE_INTERVAL_S = 0.5
 HOSTS_PER_PROBE_INTERVAL = 4
-# Factor on the silence that puts a path in doubt after questions that found
-# nothing: under load streams pause although all endpoints live. It falls back
-# by itself, and at once when an endpoint is found dead or slow.
+# Growth of the factor on silence limits after probes that found nothing: under load
+# streams pause although all endpoints are up. The factor decays with each poll, and is
+# reset when an endpoint is found down or slow.
 SILENCE_FACTOR_GROWTH = 1.6
 MAX_SILENCE_FACTOR = 2.5
 SILENCE_FACTOR_DECAY = 0.9975
-# Seconds between two questions to an endpoint that is down or slow.
+# Time between two probes of an endpoint that is down or slow, for every four hosts.
 UNHEALTHY_PROBE_INTERVAL_S = 1.0
-# Seconds after the end of a wait from which this host itself was slow: what it
-# missed then says nothing about the endpoints.
+# Overrun of a wait from which this host itself counts as stalled. What it missed
+# meanwhile says nothing about the endpoints.
 STALL_S = 0.03
-# Seconds between two looks at the streams under way.
+# Time between two checks of the active streams for silence.
 POLL_INTERVAL_S = 0.01
-# Questions of one round from which it counts how many failed. If most do, it
-# is this host that is slow or cut off, and taking all endpoints out would turn
-# its own trouble into an outage.
+# Probes in a round from which a failed majority is put down to this host, as slow or
+# partitioned. Marking all these endpoints as down would turn a local fault into an
+# outage.
 MIN_ROUND_PROBES = 4
 
 
 async def call_endpoint(
     endpoint: Endpoint, call: EndpointCall, deadline: float
 ) -> Response:
-    """Call an endpoint's own interface on a new connection."""
+    """Call an endpoint's control interface on a new connection.
+
+    Raises ``TransportError`` if no whole response arrives by ``deadline``.
+    """
     host, port = endpoint.address
     conn = await ClientConnection.open(host, port, deadline)
     try:
@@ -66,7 +69,17 @@
 
 
 class Prober:
-    """Asks endpoints in doubt for their state, all at once."""
+    """Probes endpoints of silent streams, and those that are down or slow.
+
+    Parameters
+    ----------
+    dialect : Dialect
+        Encodes the probe and decodes the report.
+    directory : Directory
+        The endpoints and active streams; receives the results.
+    host_count : callable
+        Returns the number of hosts in this data centre.
+    """
 
     def __init__(
         self, dialect: Dialect, directory: Directory, host_count: Callable[[], int]
@@ -80,7 +93,7 @@
         self._reading_since = 0.0
 
     def request_probes(self, endpoint_ids: list[str]) -> None:
-        """Ask these endpoints soon, unless they were asked just now."""
+        """Queue endpoints for a probe, unless they were probed just now."""
         now = time.monotonic()
         interval_s = PROBE_INTERVAL_S * max(
             1.0, self._host_count() / HOSTS_PER_PROBE_INTERVAL
@@ -95,7 +108,7 @@
             self._requested.add(endpoint_id)
 
     async def run(self) -> None:
-        """Look for silent streams, and ask, until cancelled."""
+        """Check for silent streams and probe endpoints until cancelled."""
         async with anyio.create_task_group() as group:
             while True:
                 await anyio.sleep(POLL_INTERVAL_S)
@@ -106,10 +119,10 @@
                     group.start_soon(self._probe_round, due)
 
     def _detect_stall(self) -> None:
-        """Note whether this host was kept from reading what came.
+        """Detect that this host was kept from reading.
 
-        While it takes a large configuration it reads nothing; all streams look
-        silent then, and all questions unanswered.
+        While it applies a large configuration it reads nothing, so all streams look
+        silent and all probes unanswered.
         """
         now = time.monotonic()
         if now - self._polled_at > POLL_INTERVAL_S + STALL_S:
@@ -130,11 +143,11 @@
                 self.request_probes(silent)
 
     def _silent_endpoints(self, stream: ActiveStream, now: float) -> list[str]:
-        """Return the endpoints of a silent stream through which no other is heard.
+        """Return the endpoints of a silent stream that no other stream has events from.
 
-        A stream also pauses where all of its endpoints live: one reads long
-        prompts, or has no memory left. The events of other streams show which
-        ones live; asking those would only add to their load.
+        A stream may also pause while all of its endpoints are up, for instance if one
+        processes long prompts or has no memory left. Events of other streams show which
+        are up; probes would only add to their load.
         """
         found = []
         for endpoint_id in stream.endpoint_ids:
@@ -171,7 +184,7 @@
             and len(failed) > len(endpoint_ids) / 2
         ):
             logger.warning(
-                "most questions failed", asked=len(endpoint_ids), failed=len(failed)
+                "most probes failed", asked=len(endpoint_ids), failed=len(failed)
             )
             return
         for endpoint_id in failed:
@@ -200,7 +213,7 @@
                 failed.append(endpoint_id)
             return
         except DecodeError as exc:
-            # It answers; a plain service has no such call.
+            # It responds, so it is up; plain services have no report call.
             logger.debug("no report", endpoint=endpoint_id, cause=str(exc))
             return
         self._directory.set_down(endpoint_id, down=False)
@@ -209,7 +222,11 @@
     async def fetch_report(
         self, endpoint: Endpoint, timeout_s: float = RELAXED_PROBE_TIMEOUT_S
     ) -> EndpointReport:
-        """Return an endpoint's state; raise ``TransportError`` or ``DecodeError``."""
+        """Return an endpoint's report of its state.
+
+        Raises ``TransportError`` if it does not respond within ``timeout_s`` seconds,
+        ``DecodeError`` if the response holds no report.
+        """
         deadline = time.monotonic() + timeout_s
         response = await call_endpoint(endpoint, self._dialect.report_call(), deadline)
         if response.head.status != 200:
--- a/packages/router/src/hemlockhall_router/process/replica_index.py
+++ b/packages/router/src/hemlockhall_router/process/replica_index.py
@@ -1,4 +1,4 @@
-"""The endpoints of each service by replica, for choices among many of them."""
+"""Index of each service's endpoints by replica."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
     from hemlockhall_router.version.replica import Replica
     from hemlockhall_router.version.routing import Model
 
-# Endpoints among which one request chooses its path, if there are more.
+# Endpoints in the sample in which a request's path is searched.
 SAMPLE_SIZE = 130
-# Replicas of the own data centre in a sample: one may be broken or full.
+# Replicas of the local data centre in a sample; two, as one may be broken or full.
 LOCAL_REPLICAS = 2
 
 
 @dataclass(slots=True)
 class _ServiceIndex:
-    """One service; ``generation`` is that of the directory it was made from."""
+    """Endpoints of one service, built from one ``generation`` of the directory."""
 
     generation: int = -1
     endpoints: list[EndpointRecord] = field(default_factory=list)
@@ -30,18 +30,18 @@
 
 
 class ReplicaIndex:
-    """Lists of endpoints that follow the directory."""
+    """Endpoints by service and replica, rebuilt when the directory's set changes."""
 
     def __init__(self, directory: Directory) -> None:
         self._directory = directory
         self._services: dict[str, _ServiceIndex] = {}
 
     def endpoints(self, service: str) -> list[EndpointRecord]:
-        """Return all endpoints of a service."""
+        """Return the records of all endpoints of a service."""
         return self._service_index(service, None).endpoints
 
     def division(self, service: str, model: Model) -> ReplicaDivision:
-        """Return how the data centres of a service are divided."""
+        """Return how the data centres of a service are divided into replicas."""
         return self._service_index(service, model).division
 
     def sample(
@@ -51,11 +51,12 @@
         home: str,
         first_endpoint_ids: frozenset[str] | None = None,
     ) -> list[EndpointRecord]:
-        """Return endpoints among which a request may find a path.
+        """Return a random sample of endpoints, in whole replicas, for a path search.
 
-        Two replicas of the data centre ``home``, and those of others up to a bound;
-        with ``first_endpoint_ids`` also the replicas of these endpoints. All of them
-        if they are few.
+        It has ``LOCAL_REPLICAS`` of the data centre ``home``, the replicas of the
+        endpoints in ``first_endpoint_ids``, and replicas of other data centres until
+        it has ``SAMPLE_SIZE`` endpoints. A service with no more than these is
+        returned whole.
         """
         index = self._service_index(service, model)
         if len(index.endpoints) <= SAMPLE_SIZE:
