--- a/tests/router/test_budget.py
+++ b/tests/router/test_budget.py
@@ -1,4 +1,4 @@
-"""The budget of repeats."""
+"""Retry budget that hosts share."""
 
 from __future__ import annotations
 
@@ -19,11 +19,13 @@
 
 
 class Fleet:
-    """Hosts that hear of each other's usage after a delay."""
+    """Hosts that receive each other's usage after a delay."""
 
     def __init__(self, hosts: int = HOSTS, lag_s: float = USAGE_LAG_S - STEP_S) -> None:
         self.now = 0.0
-        self.told: deque[list[RetryUsage]] = deque(maxlen=max(1, round(lag_s / STEP_S)))
+        self.reported_usage: deque[list[RetryUsage]] = deque(
+            maxlen=max(1, round(lag_s / STEP_S))
+        )
         self.parts: list[list[RetryBudget]] = []
         self.budgets = []
         self.spent: list[tuple[float, int]] = []
@@ -33,23 +35,23 @@
                 CONSTANT,
                 WINDOW_S,
                 lambda: hosts,
-                self.shared,
+                self.cluster_usage,
                 lambda: self.now,
             )
             self.budgets.append(budget)
 
-    def shared(self) -> tuple[int, list[RetryUsage]]:
-        return len(self.budgets), self.told[0] if self.told else []
+    def cluster_usage(self) -> tuple[int, list[RetryUsage]]:
+        return len(self.budgets), self.reported_usage[0] if self.reported_usage else []
 
     def step(self) -> None:
         found = [item for budget in self.budgets for item in budget.usage()]
-        self.told.append(sum_usage(found))
+        self.reported_usage.append(sum_usage(found))
         self.now += STEP_S
 
-    def spend(self, host: int, wanted: int) -> int:
-        """Ask for repeats at one host; return how many it allowed."""
+    def spend(self, host: int, limit: int) -> int:
+        """Request retries at one host; return how many it allowed."""
         allowed = 0
-        while allowed < wanted and self.budgets[host].try_acquire("pool"):
+        while allowed < limit and self.budgets[host].try_acquire("pool"):
             allowed += 1
         self.spent.append((self.now, allowed))
         return allowed
@@ -58,12 +60,12 @@
         for _ in range(count):
             self.budgets[host].record_request("pool")
 
-    def in_window(self) -> int:
+    def retries_in_window(self) -> int:
         return sum(n for at, n in self.spent if at > self.now - WINDOW_S)
 
 
-def warm(fleet: Fleet, each: int = 1) -> None:
-    """Let a window and a half of requests pass."""
+def fill_window(fleet: Fleet, each: int = 1) -> None:
+    """Record requests at all hosts for one and a half windows."""
     for _ in range(round(1.5 * WINDOW_S / STEP_S)):
         for host in range(len(fleet.budgets)):
             fleet.requests(host, each)
@@ -71,9 +73,8 @@
 
 
 class TestBudget:
-    def test_the_hosts_shares_never_add_up_to_more(self) -> None:
-        """Hosts that are cut off from one another still count the others, so
-        all together stay inside the allowance."""
+    def test_shares_of_partitioned_hosts_stay_within_budget(self) -> None:
+        """Guards against partitioned hosts that each spend the whole budget."""
         budgets = []
         for _ in range(4):
             budgets.append(RetryBudget(0.2, 100.0, 10.0, lambda: 4, lambda: (1, [])))
@@ -86,22 +87,22 @@
                 allowed += 1
         assert 0 < allowed <= SAFETY_FACTOR * (0.2 * requests + 100.0)
 
-    def test_services_are_counted_apart(self) -> None:
+    def test_services_have_separate_budgets(self) -> None:
         budget = RetryBudget(0.0, 10.0, 10.0, lambda: 1, lambda: (1, []))
         while budget.try_acquire("pool"):
             pass
         assert budget.try_acquire("desk")
 
 
-class TestUnevenLosses:
-    """Load pattern: losses that hit the streams of a few hosts."""
+class TestUnevenRetries:
+    """Load pattern: lost endpoints interrupt the streams of a few hosts only."""
 
-    def test_a_host_repeats_more_than_an_equal_share_while_others_need_none(
+    def test_host_borrows_beyond_equal_share(
         self,
     ) -> None:
-        """Guards against refusals at one host while the allowance is hardly used."""
+        """Guards against refusals at one host while the budget is hardly used."""
         fleet = Fleet()
-        warm(fleet)
+        fill_window(fleet)
         requests = HOSTS * round(WINDOW_S / STEP_S)
         equal = SAFETY_FACTOR * (RATIO * requests + CONSTANT) / HOSTS
         allowed = 0
@@ -111,7 +112,7 @@
             fleet.step()
         assert allowed > 1.5 * equal
 
-    def test_a_busy_host_has_a_larger_share(self) -> None:
+    def test_busy_host_has_larger_share(self) -> None:
         """Guards against equal shares where one host receives most requests."""
         fleet = Fleet(hosts=4)
         for _ in range(round(1.5 * WINDOW_S / STEP_S)):
@@ -122,11 +123,11 @@
         assert fleet.spend(0, 1000) > 2 * fleet.spend(1, 1000)
 
     @pytest.mark.parametrize("seed", range(20))
-    def test_all_hosts_together_never_exceed_the_allowance(self, seed: int) -> None:
-        """Guards against hosts that draw the same repeats before they hear."""
+    def test_total_retries_stay_within_budget(self, seed: int) -> None:
+        """Guards against hosts that borrow the same retries before they know of it."""
         rng = random.Random(seed)
         fleet = Fleet()
-        warm(fleet)
+        fill_window(fleet)
         requests = HOSTS * round(WINDOW_S / STEP_S)
         most = RATIO * requests + CONSTANT
         for _ in range(round(3 * WINDOW_S / STEP_S)):
@@ -135,13 +136,13 @@
                 fleet.requests(host, 1)
                 if host < hit:
                     fleet.spend(host, rng.choice((1, 5, 50)))
-            assert fleet.in_window() <= most
+            assert fleet.retries_in_window() <= most
             fleet.step()
 
-    def test_hosts_that_restart_together_stay_within_the_allowance(self) -> None:
-        """Guards against a second allowance for hosts that forgot the first."""
+    def test_restarted_hosts_stay_within_budget(self) -> None:
+        """Guards against a second budget for hosts that lost their counts."""
         fleet = Fleet()
-        warm(fleet)
+        fill_window(fleet)
         requests = HOSTS * round(WINDOW_S / STEP_S)
         half = HOSTS // 2
         for host in range(half):
@@ -150,10 +151,10 @@
         fresh.now = fleet.now
         fleet.budgets[:half] = fresh.budgets
         for budget in fresh.budgets:
-            budget._cluster_usage = fleet.shared
+            budget._cluster_usage = fleet.cluster_usage
         for _ in range(8):
             for host in range(HOSTS):
                 fleet.requests(host, 1)
                 fleet.spend(host, 1000)
             fleet.step()
-        assert fleet.in_window() <= RATIO * requests * 1.1 + CONSTANT
+        assert fleet.retries_in_window() <= RATIO * requests * 1.1 + CONSTANT
--- a/tests/router/test_directory.py
+++ b/tests/router/test_directory.py
@@ -1,4 +1,4 @@
-"""What this host knows of the endpoints."""
+"""Endpoint directory: backoff, presumed draining, layers, replaced addresses."""
 
 from __future__ import annotations
 
@@ -29,20 +29,19 @@
 
 @pytest.fixture()
 def directory() -> Directory:
-    made = Directory(
+    result = Directory(
         StandinDialect().decode_endpoint, lambda: 0.0, Timing(BoundsSection())
     )
     value = msgspec.json.encode(EndpointRow("pool", 1))
-    made.apply_rows([Row("p1", value, 1)])
-    return made
+    result.apply_rows([Row("p1", value, 1)])
+    return result
 
 
-class TestLeavingOut:
-    def test_failures_at_the_same_time_count_once(self, directory: Directory) -> None:
-        """All callers come back at once after a loss of power, and an endpoint
-        refuses ten of them within milliseconds. Each refusal doubled the time
-        for which it was left out, so that no path was left for four seconds
-        and everybody was refused."""
+class TestBackoff:
+    def test_concurrent_failures_count_once(self, directory: Directory) -> None:
+        """Guards against a backoff that doubles with each of ten refusals within
+        milliseconds, as callers reconnect together: no path was left for four seconds.
+        """
         for _ in range(10):
             directory.record_failure("p1", "refused")
         assert (
@@ -50,14 +49,14 @@
             <= time.monotonic() + FAILURE_BACKOFF_S
         )
 
-    def test_failures_one_after_another_count_more(self, directory: Directory) -> None:
+    def test_consecutive_failures_lengthen_backoff(self, directory: Directory) -> None:
         record = directory.records["p1"]
         for _ in range(3):
             record.backoff_deadline = 0.0
             directory.record_failure("p1", "broken")
         assert record.backoff_deadline > time.monotonic() + FAILURE_BACKOFF_S
 
-    def test_an_endpoint_without_room_is_left_out_briefly(
+    def test_full_endpoint_has_constant_short_backoff(
         self, directory: Directory
     ) -> None:
         record = directory.records["p1"]
@@ -74,52 +73,54 @@
     return EndpointReport(False, orders, 0, 1, used, TOTAL, layers, 1)
 
 
-class TestLeavingWithoutAWord:
+class TestPresumedDraining:
     @pytest.fixture()
     def record(self, directory: Directory) -> EndpointRecord:
         record = directory.records["p1"]
         record.layers_changed_at -= 2 * WARMUP_S
         return record
 
-    def test_one_that_refuses_though_it_has_room_is_left_out(
+    def test_refusal_with_free_memory_presumes_draining(
         self, directory: Directory, record: EndpointRecord
     ) -> None:
-        """Guards against paths through endpoints that leave while the store is away."""
+        """Guards against paths through endpoints that drain in a store outage."""
         directory.record_refusal("p1")
         directory.apply_report("p1", report(int(TOTAL * LOW_MEMORY_FRACTION / 2)))
         assert directory.usable("pool") == []
         assert directory.live_endpoints("pool") == []
         assert directory.presumed_draining_keys() == [endpoint_key("p1")]
 
-    def test_one_that_is_full_is_not(
+    def test_full_endpoint_is_not_presumed_draining(
         self, directory: Directory, record: EndpointRecord
     ) -> None:
-        """Guards against a layout that gives up endpoints under load."""
+        """Guards against a layout that loses endpoints under load."""
         directory.record_refusal("p1")
         directory.apply_report("p1", report(int(TOTAL * 0.6)))
         assert directory.usable("pool") == [record]
 
-    def test_one_that_tells_no_memory_is_not(
+    def test_endpoint_without_memory_report_is_not_presumed_draining(
         self, directory: Directory, record: EndpointRecord
     ) -> None:
         directory.record_refusal("p1")
         directory.apply_report("p1", replace(report(0), memory_total=0))
         assert directory.usable("pool") == [record]
 
-    def test_one_that_has_just_changed_is_not(self, directory: Directory) -> None:
+    def test_endpoint_in_warmup_is_not_presumed_draining(
+        self, directory: Directory
+    ) -> None:
         directory.record_refusal("p1")
         directory.apply_report("p1", report(0))
         assert directory.usable("pool") == [directory.records["p1"]]
 
-    def test_what_another_host_found_is_not_passed_on_as_its_own(
+    def test_remote_detection_is_not_reported_as_local(
         self, directory: Directory, record: EndpointRecord
     ) -> None:
-        """Guards against two hosts that keep an endpoint out for each other."""
+        """Guards against two hosts that renew each other's detection forever."""
         directory.apply_presumed_draining([endpoint_key("p1")])
         assert directory.usable("pool") == []
         assert directory.presumed_draining_keys() == []
 
-    def test_a_new_run_of_it_is_used_at_once(
+    def test_restart_ends_presumed_draining(
         self, directory: Directory, record: EndpointRecord
     ) -> None:
         directory.apply_presumed_draining([endpoint_key("p1")])
@@ -128,27 +129,27 @@
         assert directory.usable("pool") == [record]
 
 
-class TestFacts:
-    def test_layers_that_another_host_knows_are_taken(
+class TestLayerUpdates:
+    def test_layer_update_of_another_host_is_applied(
         self, directory: Directory
     ) -> None:
-        """Guards against requests along layers that were given up in an outage."""
+        """Guards against paths through layers that were dropped in a store outage."""
         key = endpoint_key("p1")
         directory.apply_layer_updates([LayerUpdate(key, 1, 3, 4, 8)])
         assert directory.records["p1"].endpoint.layers == LayerRange(4, 8)
         assert directory.layer_updates() == [LayerUpdate(key, 1, 3, 4, 8)]
 
     @pytest.mark.parametrize("fact", [(1, 3, 0, 4), (1, 2, 0, 4), (2, 9, 0, 4)])
-    def test_older_ones_and_those_of_another_run_are_not(
+    def test_older_or_foreign_layer_update_is_ignored(
         self, directory: Directory, fact: tuple[int, int, int, int]
     ) -> None:
-        """Guards against a layout that goes back to an older one."""
+        """Guards against known layers that revert to older ones."""
         key = endpoint_key("p1")
         directory.apply_layer_updates([LayerUpdate(key, 1, 3, 4, 8)])
         directory.apply_layer_updates([LayerUpdate(key, *fact)])
         assert directory.records["p1"].endpoint.layers == LayerRange(4, 8)
 
-    def test_an_older_entry_of_the_store_reverts_nothing(
+    def test_older_store_entry_does_not_revert_layers(
         self, directory: Directory
     ) -> None:
         directory.apply_report("p1", report(0, orders=3, layers=LayerRange(4, 8)))
@@ -160,11 +161,9 @@
         assert directory.layer_updates() == []
 
 
-class TestElsewhere:
-    def test_an_endpoint_that_serves_others_is_not_down(
-        self, directory: Directory
-    ) -> None:
-        """Guards against endpoints left out for a fault of this host's own link."""
+class TestRemoteLoads:
+    def test_remote_event_marks_endpoint_up(self, directory: Directory) -> None:
+        """Guards against endpoints left out for a network fault of this host."""
         directory.set_down("p1", down=True)
         record = directory.records["p1"]
         directory.set_remote_loads({record.key: Load(record.key, 1, 100, 0, 50)})
@@ -177,45 +176,41 @@
 
 class TestReusedAddress:
     def restart(self, directory: Directory) -> None:
-        """Let an endpoint appear anew at the address of one that crashed."""
+        """Add an endpoint at the address of one that crashed."""
         directory.set_down("p1", down=True)
         value = msgspec.json.encode(EndpointRow("pool", 1, born=7))
         directory.apply_rows([Row("p2", value, 2)])
 
-    def test_an_old_run_gets_no_requests_once_its_address_has_a_new_one(
-        self, directory: Directory
-    ) -> None:
-        """Guards against paths with one address twice, which engines refuse."""
+    def test_replaced_incarnation_gets_no_requests(self, directory: Directory) -> None:
+        """Guards against paths that contain an address twice, which engines refuse."""
         self.restart(directory)
         directory.set_down("p1", down=False)
         assert directory.usable("pool") == [directory.records["p2"]]
 
-    def test_an_old_run_is_given_no_orders_once_its_address_has_a_new_one(
-        self, directory: Directory
-    ) -> None:
-        """Guards against layers that are counted as held by a run that ended."""
+    def test_replaced_incarnation_gets_no_orders(self, directory: Directory) -> None:
+        """Guards against layers that are counted at an incarnation that ended."""
         self.restart(directory)
         directory.set_down("p1", down=False)
         assert [member.id for member in directory.live_endpoints("pool")] == ["p2"]
 
-    def test_a_report_of_the_new_run_does_not_revive_the_old_one(
+    def test_report_of_new_incarnation_does_not_revive_old_one(
         self, directory: Directory
     ) -> None:
-        """Guards against an old entry that takes over the layers of the new run."""
+        """Guards against an old entry that gets the layers of the new incarnation."""
         directory.records["p1"].endpoint = replace(
             directory.records["p1"].endpoint, started_ms=3
         )
-        answer = replace(report(0, orders=1, layers=LayerRange(0, 4)), started_ms=7)
+        new_report = replace(report(0, orders=1, layers=LayerRange(0, 4)), started_ms=7)
         directory.set_down("p1", down=True)
-        directory.apply_report("p1", answer)
+        directory.apply_report("p1", new_report)
         self.restart(directory)
         directory.set_down("p1", down=False)
         assert directory.usable("pool") == [directory.records["p2"]]
 
-    def test_an_entry_that_comes_late_does_not_replace_a_newer_run(
+    def test_late_entry_does_not_replace_newer_incarnation(
         self, directory: Directory
     ) -> None:
-        """Guards against a delayed entry that takes the live run out of service."""
+        """Guards against a delayed entry that replaces the live incarnation."""
         directory.records["p1"].endpoint = replace(
             directory.records["p1"].endpoint, started_ms=9
         )
@@ -223,8 +218,8 @@
         directory.set_down("p1", down=False)
         assert directory.usable("pool") == [directory.records["p1"]]
 
-    def test_a_new_run_under_the_old_id_is_used(self, directory: Directory) -> None:
-        """Guards against an endpoint that restarts under its id and stays unused."""
+    def test_restart_under_old_id_is_used(self, directory: Directory) -> None:
+        """Guards against an endpoint that stays unused after a restart."""
         self.restart(directory)
         directory.apply_rows([Row("p2", b"", 3, True)])
         value = msgspec.json.encode(EndpointRow("pool", 1, born=8))
@@ -233,34 +228,30 @@
         assert directory.usable("pool") == [directory.records["p1"]]
 
 
-class TestMayRun:
-    def test_an_endpoint_that_is_known_may_run(self, directory: Directory) -> None:
+class TestMayStillRun:
+    def test_known_endpoint_may_still_run_even_if_down(
+        self, directory: Directory
+    ) -> None:
         endpoint = directory.records["p1"].endpoint
         assert directory.may_still_run(endpoint)
         directory.set_down("p1", down=True)
         assert directory.may_still_run(endpoint)
 
-    def test_an_endpoint_that_left_without_a_word_may_run(
-        self, directory: Directory
-    ) -> None:
-        """Guards against more runs than a route allows while a removed one serves."""
+    def test_removed_endpoint_may_still_run(self, directory: Directory) -> None:
+        """Guards against too many concurrent attempts while a removed one runs on."""
         endpoint = directory.records["p1"].endpoint
         directory.apply_rows([Row("p1", b"", 2, True)])
         assert directory.may_still_run(endpoint)
 
-    def test_an_endpoint_that_was_down_when_its_entry_went_has_ended(
-        self, directory: Directory
-    ) -> None:
-        """Guards against streams that are held to an endpoint that crashed."""
+    def test_endpoint_removed_while_down_has_ended(self, directory: Directory) -> None:
+        """Guards against streams that are bound to an endpoint that crashed."""
         endpoint = directory.records["p1"].endpoint
         directory.set_down("p1", down=True)
         directory.apply_rows([Row("p1", b"", 2, True)])
         assert not directory.may_still_run(endpoint)
 
-    def test_a_run_whose_address_has_a_newer_one_has_ended(
-        self, directory: Directory
-    ) -> None:
-        """Guards against streams that are held to a run that was replaced."""
+    def test_replaced_incarnation_has_ended(self, directory: Directory) -> None:
+        """Guards against streams that are bound to a replaced incarnation."""
         endpoint = directory.records["p1"].endpoint
         value = msgspec.json.encode(EndpointRow("pool", 1, born=7))
         directory.apply_rows([Row("p2", value, 2)])
--- a/tests/router/test_planner.py
+++ b/tests/router/test_planner.py
@@ -1,4 +1,4 @@
-"""Orders: given once, conditional, for what is missing."""
+"""Planner and leadership: orders are conditional, bounded and sent once."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 EMPTY = {"service": "pool", "accelerator": "small"}
 
 
-async def unused(arrival: ReceivedRequest) -> None:
-    await arrival.refuse()
+async def refuse_request(request: ReceivedRequest) -> None:
+    await request.refuse()
 
 
-def missing(pool: list[ScriptedEndpoint]) -> list[LayerRange]:
+def coverage_gaps(pool: list[ScriptedEndpoint]) -> list[LayerRange]:
     members = []
     for endpoint in pool:
         if endpoint.state.layers is None:
@@ -33,41 +33,43 @@
     return Coverage(model(), members).gaps()
 
 
-async def laid_out(harness: RouterHarness, count: int) -> list[ScriptedEndpoint]:
+async def start_with_layout(
+    harness: RouterHarness, count: int
+) -> list[ScriptedEndpoint]:
     pool = [
-        await harness.start_endpoint(f"p{n}", unused, **EMPTY) for n in range(count)
+        await harness.start_endpoint(f"p{n}", refuse_request, **EMPTY)
+        for n in range(count)
     ]
     await harness.wait_until(lambda: all(e.state.layers is not None for e in pool))
-    await harness.wait_until(lambda: not missing(pool))
+    await harness.wait_until(lambda: not coverage_gaps(pool))
     return pool
 
 
 class TestOrders:
-    async def test_empty_endpoints_get_a_whole_copy(self) -> None:
+    async def test_empty_endpoints_get_a_complete_copy(self) -> None:
         async with router_harness(ROUTES) as harness:
-            pool = await laid_out(harness, 4)
+            pool = await start_with_layout(harness, 4)
             assert [len(endpoint.orders) for endpoint in pool] == [1, 1, 1, 1]
 
-    async def test_a_lost_endpoint_is_replaced(self) -> None:
+    async def test_layers_of_lost_endpoint_are_reassigned(self) -> None:
         async with router_harness(ROUTES) as harness:
-            pool = await laid_out(harness, 4)
+            pool = await start_with_layout(harness, 4)
             lost = pool.pop(1)
             lost.stop()
             harness.register(lost, "pool", draining=True, accelerator="small")
-            await harness.wait_until(lambda: not missing(pool))
+            await harness.wait_until(lambda: not coverage_gaps(pool))
 
-    async def test_layers_are_given_up_at_once_only_for_a_broken_copy(self) -> None:
-        """An endpoint that holds layers twice takes over those of a lost one.
-        It waited until the streams on it had ended, which under load took many
-        seconds, and all that time the copy served nobody."""
+    async def test_orders_are_immediate_only_while_copy_has_gap(self) -> None:
+        """Guards against a repair that waits for the streams on the endpoint that takes
+        over lost layers: the copy has a gap meanwhile, many seconds under load."""
         async with router_harness(ROUTES) as harness:
-            pool = await laid_out(harness, 4)
+            pool = await start_with_layout(harness, 4)
             assert all(endpoint.orders[-1].at_once for endpoint in pool)
-            held = harness.routers[0].directory.records
+            records = harness.routers[0].directory.records
             await harness.wait_until(
-                lambda: all(held[e.name].endpoint.layers for e in pool)
+                lambda: all(records[e.name].endpoint.layers for e in pool)
             )
-            spare = await harness.start_endpoint("p9", unused, **EMPTY)
+            spare = await harness.start_endpoint("p9", refuse_request, **EMPTY)
             await harness.wait_until(lambda: spare.orders)
             assert not spare.orders[0].at_once
             lost = pool.pop(1)
@@ -75,43 +77,43 @@
             before = {e.name: len(e.orders) for e in rest}
             lost.stop()
             harness.register(lost, "pool", draining=True, accelerator="small")
-            await harness.wait_until(lambda: not missing(rest))
+            await harness.wait_until(lambda: not coverage_gaps(rest))
             repairs = [o for e in rest for o in e.orders[before[e.name] :]]
             assert any(order.at_once for order in repairs)
 
-    async def test_orders_name_the_count_of_orders_before(self) -> None:
-        """An order that an endpoint carries out late, after a newer one, names
-        a count that has passed, so the endpoint refuses it."""
+    async def test_order_names_number_of_preceding_orders(self) -> None:
+        """Guards against an order that is executed late, after a newer one. The
+        endpoint refuses a count that it has passed."""
         async with router_harness(ROUTES) as harness:
-            pool = await laid_out(harness, 4)
+            pool = await start_with_layout(harness, 4)
             for endpoint in pool:
                 assert endpoint.orders[0].orders == 0
                 assert endpoint.orders[0].fence == harness.routers[0].lease.fence
 
-    async def test_an_order_without_an_answer_is_given_again_at_once(self) -> None:
-        """Endpoints leave their first order unanswered and carry it out after
-        they began a second one. Waiting for the first, the planner left the
-        layers unserved; carried out late, it must not undo the second."""
+    async def test_order_without_response_is_sent_again(self) -> None:
+        """Guards against a gap that lasts while an order gets no response, and
+        against the first order, executed late, undoing the second."""
         async with router_harness(ROUTES) as harness:
             pool = []
             for number in range(4):
-                pool.append(await harness.start_endpoint(f"p{number}", unused, **EMPTY))
+                pool.append(
+                    await harness.start_endpoint(f"p{number}", refuse_request, **EMPTY)
+                )
                 pool[-1].late_orders = 1
-            await harness.wait_until(lambda: not missing(pool))
+            await harness.wait_until(lambda: not coverage_gaps(pool))
             for endpoint in pool:
                 assert len(endpoint.waiting) == 1
                 endpoint.catch_up()
                 assert len(endpoint.orders) == 1
-            assert not missing(pool)
+            assert not coverage_gaps(pool)
 
 
 class TestLeadership:
-    async def test_orders_go_on_when_the_holder_ends_in_an_outage(self) -> None:
-        """The store is away, and the host that holds the lease is told to end.
-        Nobody can acquire the lease. Then an endpoint dies: its layers stayed
-        unserved until the store was back, and callers were refused."""
+    async def test_planning_continues_when_holder_ends_in_store_outage(self) -> None:
+        """Guards against a gap that lasts until the store is back: the lease holder
+        ends in a store outage, no host can acquire the lease, an endpoint is lost."""
         async with router_harness(ROUTES) as harness:
-            pool = await laid_out(harness, 4)
+            pool = await start_with_layout(harness, 4)
             holder = harness.routers[0]
             other = await harness.add_router(grace_s=3.0)
             await harness.wait_until(lambda: other.directory.live_endpoints("pool"))
@@ -121,10 +123,10 @@
             lost = pool.pop(1)
             lost.stop()
             other.directory.set_down(lost.name, down=True)
-            await harness.wait_until(lambda: not missing(pool))
+            await harness.wait_until(lambda: not coverage_gaps(pool))
             assert not other.lease.fence
 
-    async def test_the_holder_leaves_orders_to_a_host_that_stays(self) -> None:
+    async def test_leaving_holder_releases_lease_to_peer(self) -> None:
         async with router_harness(ROUTES) as harness:
             holder = harness.routers[0]
             await harness.wait_until(lambda: holder.lease.fence)
@@ -134,42 +136,43 @@
             await harness.wait_until(lambda: other.lease.fence)
             assert not holder.lease.fence
 
-    async def test_the_last_host_gives_orders_until_it_ends(self) -> None:
-        """All hosts are told to end, one after the other. A leaving host gave
-        no orders, so what died then was replaced only after the restart."""
+    async def test_last_host_plans_until_it_ends(self) -> None:
+        """Guards against layers that are reassigned only after a restart: all hosts
+        are told to end, and an endpoint is lost while the last one still serves."""
         async with router_harness(ROUTES) as harness:
-            pool = await laid_out(harness, 4)
+            pool = await start_with_layout(harness, 4)
             holder = harness.routers[0]
             harness.group.start_soon(holder.leave)
             await harness.wait_until(lambda: holder.frontend.leaving)
             lost = pool.pop(1)
             lost.stop()
             harness.register(lost, "pool", draining=True, accelerator="small")
-            await harness.wait_until(lambda: not missing(pool))
+            await harness.wait_until(lambda: not coverage_gaps(pool))
 
 
 class TestManyEndpoints:
-    async def test_orders_under_way_are_bounded(
+    async def test_concurrent_orders_are_bounded(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """Guards against a planner that calls all endpoints of a fleet at once."""
+        """Guards against a planner that calls all endpoints of a service at once."""
         monkeypatch.setattr(planner, "MAX_CONCURRENT_ORDERS", 2)
-        most = 0
+        largest = 0
         async with router_harness(ROUTES) as harness:
             pool = [
-                await harness.start_endpoint(f"p{n}", unused, **EMPTY) for n in range(6)
+                await harness.start_endpoint(f"p{n}", refuse_request, **EMPTY)
+                for n in range(6)
             ]
             limiter = harness.routers[0]._planner._order_limiter
             while any(endpoint.state.layers is None for endpoint in pool):
                 await anyio.sleep(0.01)
-                most = max(most, int(limiter.borrowed_tokens))
-        assert 0 < most <= 2
+                largest = max(largest, int(limiter.borrowed_tokens))
+        assert 0 < largest <= 2
 
-    async def test_a_layout_that_is_ordered_in_parts_stays_as_planned(
+    async def test_layout_in_progress_is_not_planned_again(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """Guards against copies that are planned anew while half of them is ordered."""
+        """Guards against copies that are planned again while some orders are queued."""
         monkeypatch.setattr(planner, "MAX_CONCURRENT_ORDERS", 1)
         async with router_harness(ROUTES) as harness:
-            pool = await laid_out(harness, 8)
+            pool = await start_with_layout(harness, 8)
             assert [len(endpoint.orders) for endpoint in pool] == [1] * 8
--- a/tests/router/test_prober.py
+++ b/tests/router/test_prober.py
@@ -1,4 +1,4 @@
-"""Which endpoints are asked whether they live."""
+"""Selection of the endpoints to probe."""
 
 from __future__ import annotations
 
@@ -14,73 +14,70 @@
 from hemlockhall_router.version.endpoint import Endpoint
 from hemlockhall_standins.router.dialect import StandinDialect
 
-QUIET_S = 0.06
+SILENCE_LIMIT_S = 0.06
 
 
 @pytest.fixture()
 def directory() -> Directory:
-    made = Directory(
+    result = Directory(
         StandinDialect().decode_endpoint, lambda: 0.0, Timing(BoundsSection())
     )
     for name in ("p1", "p2", "p3"):
-        made.add(Endpoint(name, "pool", "127.0.0.1", 1, "here"))
-    return made
+        result.add(Endpoint(name, "pool", "127.0.0.1", 1, "here"))
+    return result
 
 
-def silent(directory: Directory) -> ActiveStream:
-    running = ActiveStream(["p1", "p2", "p3"], QUIET_S, movable=True)
-    running.record_event(QUIET_S)
-    running.last_event_at -= 10 * QUIET_S
-    directory.active_streams.add(running)
-    return running
+def add_silent_stream(directory: Directory) -> ActiveStream:
+    stream = ActiveStream(["p1", "p2", "p3"], SILENCE_LIMIT_S, movable=True)
+    stream.record_event(SILENCE_LIMIT_S)
+    stream.last_event_at -= 10 * SILENCE_LIMIT_S
+    directory.active_streams.add(stream)
+    return stream
 
 
-class TestDoubt:
-    def test_only_endpoints_that_no_stream_hears_are_asked(
+class TestSilentStreams:
+    def test_only_endpoints_without_recent_events_are_probed(
         self, directory: Directory
     ) -> None:
-        """One of twelve endpoints on a path dies. All were asked, which took so
-        many questions under load that they were put off, and the streams there
-        went on elsewhere too late. The events of other streams show which of
-        the endpoints live."""
+        """Guards against streams that are moved too late because all endpoints of a
+        path were probed and the probes queued under load. Events of other streams show
+        which endpoints are up."""
         prober = Prober(StandinDialect(), directory, lambda: 1)
-        running = silent(directory)
+        stream = add_silent_stream(directory)
         now = time.monotonic()
         directory.records["p1"].last_event_at = directory.records[
             "p3"
         ].last_event_at = now
         prober._check_silent_streams()
         assert prober._take_due() == ["p2"]
-        assert running.probe_requested
+        assert stream.probe_requested
 
-    def test_a_stream_that_waits_at_living_endpoints_is_looked_at_again(
+    def test_stream_paused_at_live_endpoints_is_checked_again(
         self, directory: Directory
     ) -> None:
         prober = Prober(StandinDialect(), directory, lambda: 1)
-        running = silent(directory)
+        stream = add_silent_stream(directory)
         now = time.monotonic()
         for record in directory.records.values():
             record.last_event_at = now
         prober._check_silent_streams()
         assert prober._take_due() == []
-        directory.records["p2"].last_event_at = now - 10 * QUIET_S
+        directory.records["p2"].last_event_at = now - 10 * SILENCE_LIMIT_S
         prober._check_silent_streams()
         assert prober._take_due() == ["p2"]
-        assert running.probe_requested
+        assert stream.probe_requested
 
 
-class TestOwnDelay:
-    def test_a_host_that_did_not_read_blames_no_endpoint(
-        self, directory: Directory
-    ) -> None:
-        """Guards against endpoints found down after this host stood still."""
+class TestLocalStall:
+    def test_local_stall_triggers_no_probes(self, directory: Directory) -> None:
+        """Guards against endpoints marked as down after this host stalled."""
         prober = Prober(StandinDialect(), directory, lambda: 1)
-        running = silent(directory)
-        prober._polled_at -= 10 * QUIET_S
+        stream = add_silent_stream(directory)
+        prober._polled_at -= 10 * SILENCE_LIMIT_S
         prober._detect_stall()
         prober._check_silent_streams()
         assert prober._take_due() == []
-        assert not running.probe_requested
-        prober._reading_since -= 10 * QUIET_S
+        assert not stream.probe_requested
+        prober._reading_since -= 10 * SILENCE_LIMIT_S
         prober._check_silent_streams()
         assert set(prober._take_due()) == {"p1", "p2", "p3"}
