--- a/packages/router/src/hemlockhall_router/process/budget.py
+++ b/packages/router/src/hemlockhall_router/process/budget.py
@@ -1,4 +1,4 @@
-"""How often requests may be sent again, over all hosts together."""
+"""Retry budget that all hosts share."""
 
 from __future__ import annotations
 
@@ -11,50 +11,53 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# Part of the allowance that is used. Hosts that start anew have forgotten
-# what they spent, and two hosts' windows do not begin together.
+# Fraction of the budget that is spent at most. Restarted hosts have lost their counts,
+# and the windows of hosts do not begin together.
 SAFETY_FACTOR = 0.7
-# The window is counted in this many buckets.
+# Number of buckets in the sliding window.
 BUCKETS = 40
-# Part of its share that a host may spend whatever the others spend. The rest is
-# lent to hosts that need more.
-FLOOR = 0.5
-# Seconds after which all hosts have heard what a host spent.
-LAG_S = 1.5
+# Fraction of its share that a host may always spend. The rest is a pool for hosts that
+# need more.
+RESERVED_FRACTION = 0.5
+# Time after which all hosts know what a host spent.
+USAGE_LAG_S = 1.5
 
 
 @dataclass(slots=True)
 class _Counts:
+    """Requests and retries of one service, by bucket of the window."""
+
     requests: dict[int, int] = field(default_factory=dict)
-    repeats: dict[int, int] = field(default_factory=dict)
+    retries: dict[int, int] = field(default_factory=dict)
 
 
 class RetryBudget:
-    """Repeats of this host, for each service.
+    """This host's part of the retry budget, for each service.
 
-    The allowance of all hosts is a part of the requests and a constant. A host's
-    share of the constant follows from its part of the requests. A part of its share
-    is its own; the rest is a pool from which hosts draw what they need, each in
-    proportion to its share. What was drawn lately may be unknown to the others, so
-    all draws within ``LAG_S`` together stay within what is known to be left.
+    In each window all hosts together may send ``ratio`` retries for each request, and
+    ``constant`` more. A host's share of ``constant`` is proportional to its share of
+    the requests. ``RESERVED_FRACTION`` of a host's share is reserved for it; the rest
+    is a pool from which hosts borrow in proportion to their shares. Other hosts may not
+    know yet what was borrowed within the last ``USAGE_LAG_S`` seconds, so all of it
+    together stays within what is known to remain.
 
-    A host that has just started has forgotten what it spent: it keeps its whole
-    share for a window. So do hosts that are not heard, as far as the others know, so
-    the sum holds while hosts are cut off from one another.
+    A host that has just started does not know what it spent before, and reserves its
+    whole share for one window. The others leave unreachable hosts their whole shares,
+    so the total stays within the budget during a partition.
 
     Parameters
     ----------
     ratio : float
-        Repeats allowed for each request.
+        Retries allowed for each request.
     constant : float
-        Repeats allowed beyond that, for all hosts together.
+        Retries allowed in addition, for all hosts together.
     window_s : float
-        The window in seconds.
-    hosts : callable
-        Returns the most hosts that may be there.
-    shared : callable
-        Returns how many hosts are heard of, with this one, and the sum of what they
-        report as ``usage``.
+        Length of the window in seconds.
+    max_hosts : callable
+        Returns the largest number of hosts that may exist.
+    cluster_usage : callable
+        Returns the number of live hosts, with this one, and the sum of their
+        ``usage`` for each service.
     clock : callable
         Returns the time in seconds.
     """
@@ -64,106 +67,110 @@
         ratio: float,
         constant: float,
         window_s: float,
-        hosts: Callable[[], int],
-        shared: Callable[[], tuple[int, list[RetryUsage]]],
+        max_hosts: Callable[[], int],
+        cluster_usage: Callable[[], tuple[int, list[RetryUsage]]],
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self.ratio = ratio
         self.constant = constant
         self.window_s = window_s
-        self._hosts = hosts
-        self._shared = shared
+        self._max_hosts = max_hosts
+        self._cluster_usage = cluster_usage
         self._clock = clock
-        self._young_deadline = clock() + window_s
+        self._startup_deadline = clock() + window_s
         self._services: dict[str, _Counts] = {}
 
     def record_request(self, service: str) -> None:
-        """Count a caller's request for a service."""
-        _count(self._counts(service).requests, self._bucket())
+        """Count a request of a caller to a service."""
+        _increment(self._counts(service).requests, self._bucket())
 
     def try_acquire(self, service: str) -> bool:
-        """Count a repeat and return True, or return False if none is left."""
+        """Take one retry from the budget; return False if none is left."""
         counts = self._counts(service)
         share = self._share(service)
-        kept = self._kept(share)
-        if sum(counts.repeats.values()) + 1 > kept:
-            if self._drawn(counts, kept) + 1 > self._left(service, share):
+        reserved = self._reserved(share)
+        if sum(counts.retries.values()) + 1 > reserved:
+            if self._borrowed(counts, reserved) + 1 > self._remaining(service, share):
                 return False
-        _count(counts.repeats, self._bucket())
+        _increment(counts.retries, self._bucket())
         return True
 
     def usage(self) -> list[RetryUsage]:
-        """Return what this host tells the others of its use of the budget."""
+        """Return the usage that this host reports to the others."""
         found = []
         for service in self._services:
             counts = self._counts(service)
-            kept = self._kept(self._share(service))
-            repeats = max(sum(counts.repeats.values()), round(kept))
+            reserved = self._reserved(self._share(service))
+            retries = max(sum(counts.retries.values()), round(reserved))
             requests = sum(counts.requests.values())
-            found.append(RetryUsage(service_key(service), requests, repeats))
+            found.append(RetryUsage(service_key(service), requests, retries))
         return found
 
-    def _kept(self, share: float) -> float:
-        """Return what this host may spend whatever the others spend."""
-        return share if self._clock() < self._young_deadline else share * FLOOR
-
-    def _drawn(self, counts: _Counts, kept: float) -> float:
-        """Return what was drawn so lately that others may not know of it."""
-        oldest = self._bucket() - int(LAG_S / self.window_s * BUCKETS) - 1
+    def _reserved(self, share: float) -> float:
+        """Return the retries that this host may always spend."""
+        return (
+            share
+            if self._clock() < self._startup_deadline
+            else share * RESERVED_FRACTION
+        )
+
+    def _borrowed(self, counts: _Counts, reserved: float) -> float:
+        """Return the borrowed retries that other hosts may not know of yet."""
+        oldest = self._bucket() - int(USAGE_LAG_S / self.window_s * BUCKETS) - 1
         earlier = 0
-        for bucket, repeats in counts.repeats.items():
+        for bucket, retries in counts.retries.items():
             if bucket < oldest:
-                earlier += repeats
-        spent = sum(counts.repeats.values())
-        return max(0.0, spent - kept) - max(0.0, earlier - kept)
+                earlier += retries
+        spent = sum(counts.retries.values())
+        return max(0.0, spent - reserved) - max(0.0, earlier - reserved)
 
     def _share(self, service: str) -> float:
-        """Return the repeats that fall to this host by what it receives."""
+        """Return this host's share of the budget, by its share of the requests."""
         requests = sum(self._counts(service).requests.values())
-        heard, everyone = self._heard(service)
-        part = (requests + 1) / (max(requests, everyone.requests) + heard)
-        part *= heard / max(heard, self._hosts())
-        return SAFETY_FACTOR * (self.ratio * requests + self.constant * part)
-
-    def _left(self, service: str, share: float) -> float:
-        """Return this host's part of what all hosts together have left."""
-        heard, everyone = self._heard(service)
+        live_hosts, total = self._usage_of_all(service)
+        fraction = (requests + 1) / (max(requests, total.requests) + live_hosts)
+        fraction *= live_hosts / max(live_hosts, self._max_hosts())
+        return SAFETY_FACTOR * (self.ratio * requests + self.constant * fraction)
+
+    def _remaining(self, service: str, share: float) -> float:
+        """Return this host's share of what all hosts have left."""
+        live_hosts, total = self._usage_of_all(service)
         counts = self._counts(service)
-        # What it told the others may not have come back yet.
-        requests = max(everyone.requests, sum(counts.requests.values()))
-        spent = max(sum(counts.repeats.values()), self._kept(share))
-        spent = max(everyone.retries, spent)
-        part = heard / max(heard, self._hosts())
-        allowance = SAFETY_FACTOR * (self.ratio * requests + self.constant * part)
-        if not allowance:
+        # The total may not include this host's latest counts yet.
+        requests = max(total.requests, sum(counts.requests.values()))
+        spent = max(sum(counts.retries.values()), self._reserved(share))
+        spent = max(total.retries, spent)
+        fraction = live_hosts / max(live_hosts, self._max_hosts())
+        budget = SAFETY_FACTOR * (self.ratio * requests + self.constant * fraction)
+        if not budget:
             return 0.0
-        return (allowance - spent) * share / allowance
+        return (budget - spent) * share / budget
 
-    def _heard(self, service: str) -> tuple[int, RetryUsage]:
-        """Return how many hosts are heard of, and the sum of their use."""
-        heard, usages = self._shared()
+    def _usage_of_all(self, service: str) -> tuple[int, RetryUsage]:
+        """Return the number of live hosts and the sum of their usage."""
+        live_hosts, usages = self._cluster_usage()
         key = service_key(service)
         for usage in usages:
             if usage.service == key:
-                return max(1, heard), usage
-        return max(1, heard), RetryUsage(key, 0, 0)
+                return max(1, live_hosts), usage
+        return max(1, live_hosts), RetryUsage(key, 0, 0)
 
     def _counts(self, service: str) -> _Counts:
         counts = self._services.setdefault(service, _Counts())
         oldest = self._bucket() - BUCKETS
-        _forget(counts.requests, oldest)
-        _forget(counts.repeats, oldest)
+        _drop_before(counts.requests, oldest)
+        _drop_before(counts.retries, oldest)
         return counts
 
     def _bucket(self) -> int:
         return int(self._clock() / self.window_s * BUCKETS)
 
 
-def _count(buckets: dict[int, int], bucket: int) -> None:
+def _increment(buckets: dict[int, int], bucket: int) -> None:
     buckets[bucket] = buckets.get(bucket, 0) + 1
 
 
-def _forget(buckets: dict[int, int], oldest: int) -> None:
+def _drop_before(buckets: dict[int, int], oldest: int) -> None:
     for bucket in list(buckets):
         if bucket < oldest:
             del buckets[bucket]
--- a/packages/router/src/hemlockhall_router/process/replica_index.py
+++ b/packages/router/src/hemlockhall_router/process/replica_index.py
@@ -1,4 +1,4 @@
-"""The endpoints of each service by replica, for choices among many of them."""
+"""Index of each service's endpoints by replica."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
     from hemlockhall_router.version.replica import Replica
     from hemlockhall_router.version.routing import Model
 
-# Endpoints among which one request chooses its path, if there are more.
+# Endpoints in the sample in which a request's path is searched.
 SAMPLE_SIZE = 130
-# Replicas of the own data centre in a sample: one may be broken or full.
-HOME_REPLICAS = 2
+# Replicas of the local data centre in a sample; two, as one may be broken or full.
+LOCAL_REPLICAS = 2
 
 
 @dataclass(slots=True)
-class _Entry:
-    """One service; ``generation`` is that of the directory it was made from."""
+class _ServiceIndex:
+    """Endpoints of one service, built from one ``generation`` of the directory."""
 
     generation: int = -1
     endpoints: list[EndpointRecord] = field(default_factory=list)
@@ -30,19 +30,19 @@
 
 
 class ReplicaIndex:
-    """Lists of endpoints that follow the directory."""
+    """Endpoints by service and replica, rebuilt when the directory's set changes."""
 
     def __init__(self, directory: Directory) -> None:
         self._directory = directory
-        self._entries: dict[str, _Entry] = {}
+        self._services: dict[str, _ServiceIndex] = {}
 
     def endpoints(self, service: str) -> list[EndpointRecord]:
-        """Return all endpoints of a service."""
-        return self._entry(service, None).endpoints
+        """Return the records of all endpoints of a service."""
+        return self._service_index(service, None).endpoints
 
     def division(self, service: str, model: Model) -> ReplicaDivision:
-        """Return how the data centres of a service are divided."""
-        return self._entry(service, model).division
+        """Return how the data centres of a service are divided into replicas."""
+        return self._service_index(service, model).division
 
     def sample(
         self,
@@ -51,51 +51,52 @@
         home: str,
         first_endpoint_ids: frozenset[str] | None = None,
     ) -> list[EndpointRecord]:
-        """Return endpoints among which a request may find a path.
+        """Return a random sample of endpoints, in whole replicas, for a path search.
 
-        Two replicas of the data centre ``home``, and those of others up to a bound;
-        with ``first_endpoint_ids`` also the replicas of these endpoints. All of them
-        if they are few.
+        It has ``LOCAL_REPLICAS`` of the data centre ``home``, the replicas of the
+        endpoints in ``first_endpoint_ids``, and replicas of other data centres until
+        it has ``SAMPLE_SIZE`` endpoints. A service with no more than these is
+        returned whole.
         """
-        entry = self._entry(service, model)
-        if len(entry.endpoints) <= SAMPLE_SIZE:
-            return entry.endpoints
+        index = self._service_index(service, model)
+        if len(index.endpoints) <= SAMPLE_SIZE:
+            return index.endpoints
         chosen: set[Replica] = set()
-        for key in first_endpoint_ids or ():
-            record = self._directory.records.get(key)
+        for endpoint_id in first_endpoint_ids or ():
+            record = self._directory.records.get(endpoint_id)
             if record is not None:
-                chosen.add(entry.division.replica(record.endpoint))
-        near = [replica for replica in entry.replicas if replica.data_centre == home]
-        far = [replica for replica in entry.replicas if replica.data_centre != home]
-        random.shuffle(near)
-        random.shuffle(far)
-        chosen.update(near[:HOME_REPLICAS])
-        found = [record for replica in chosen for record in entry.replicas[replica]]
-        for replica in far:
+                chosen.add(index.division.replica(record.endpoint))
+        local = [replica for replica in index.replicas if replica.data_centre == home]
+        remote = [replica for replica in index.replicas if replica.data_centre != home]
+        random.shuffle(local)
+        random.shuffle(remote)
+        chosen.update(local[:LOCAL_REPLICAS])
+        found = [record for replica in chosen for record in index.replicas[replica]]
+        for replica in remote:
             if len(found) >= SAMPLE_SIZE:
                 break
             if replica not in chosen:
-                found += entry.replicas[replica]
+                found += index.replicas[replica]
         return found
 
-    def _entry(self, service: str, model: Model | None) -> _Entry:
-        entry = self._entries.setdefault(service, _Entry())
-        if entry.generation != self._directory.generation:
-            entry.generation = self._directory.generation
-            entry.endpoints = []
-            entry.replicas = {}
+    def _service_index(self, service: str, model: Model | None) -> _ServiceIndex:
+        index = self._services.setdefault(service, _ServiceIndex())
+        if index.generation != self._directory.generation:
+            index.generation = self._directory.generation
+            index.endpoints = []
+            index.replicas = {}
             for record in self._directory.records.values():
                 if record.endpoint.service == service:
-                    entry.endpoints.append(record)
-        if model is not None and not entry.replicas:
-            self._divide(entry, model)
-        return entry
-
-    def _divide(self, entry: _Entry, model: Model) -> None:
-        entry.division.update(model, [record.endpoint for record in entry.endpoints])
-        for record in entry.endpoints:
-            replica = entry.division.replica(record.endpoint)
-            entry.replicas.setdefault(replica, []).append(record)
+                    index.endpoints.append(record)
+        if model is not None and not index.replicas:
+            self._group_by_replica(index, model)
+        return index
+
+    def _group_by_replica(self, index: _ServiceIndex, model: Model) -> None:
+        index.division.update(model, [record.endpoint for record in index.endpoints])
+        for record in index.endpoints:
+            replica = index.division.replica(record.endpoint)
+            index.replicas.setdefault(replica, []).append(record)
 
 
 __all__ = [
