--- a/packages/router/src/hemlockhall_router/policy/__init__.py
+++ b/packages/router/src/hemlockhall_router/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Cost and timeout models behind routing decisions."""
+"""Estimates of costs and of silence limits, by which paths are chosen and watched."""
--- a/packages/router/src/hemlockhall_router/policy/data_centre_link.py
+++ b/packages/router/src/hemlockhall_router/policy/data_centre_link.py
@@ -12,8 +12,8 @@
     from hemlockhall_router.version.routing import Model
 
 
-# Fraction of the hosts that share a link which may choose it at the same moment: hosts
-# whose streams broke together do so before they know of each other's transfers.
+# Fraction of the hosts that share a link that are assumed to use it at the same moment,
+# as they do when streams of many hosts break together.
 BURST_FRACTION = 0.25
 
 
@@ -23,9 +23,9 @@
     All hosts share a link and none sees the transfers of the others. Each assumes that
     all of them send as much as it does, and multiplies the duration of its own
     transfers by the number of hosts. The hosts thus stay within the bandwidth together
-    without exchanging messages. Otherwise, when the copy of a data centre fails, each
-    host sends its prompts to other data centres, the links saturate and every stream
-    that crosses them is late.
+    without exchanging messages. Otherwise, when a data centre loses layers of its copy
+    of the model, each host sends its prompts to other data centres, the links saturate
+    and every stream that crosses them is late.
 
     Parameters
     ----------
@@ -40,18 +40,19 @@
     ) -> None:
         self._hosts = hosts
         self._clock = clock
-        self._busy_until: dict[frozenset[str], float] = {}
+        self._occupied_until: dict[frozenset[str], float] = {}
 
     def backlog_s(self, source: str, destination: str) -> float:
-        """Return the seconds until a link is free; its direction does not matter."""
-        busy_until = self._busy_until.get(frozenset((source, destination)), 0.0)
-        return max(0.0, busy_until - self._clock())
+        """Return the seconds until a link is not occupied, whatever the direction."""
+        occupied_until = self._occupied_until.get(frozenset((source, destination)), 0.0)
+        return max(0.0, occupied_until - self._clock())
 
     def burst_s(self, model: Model, tokens: int) -> float:
-        """Return the seconds for which transfers of several hosts at once take a link.
+        """Return the seconds for which hosts that send at once occupy a link.
 
-        Streams that break together get new paths within milliseconds. Each would find
-        the link free, and their prompts would delay the streams that cross it.
+        The chooser adds them to the backlog. Streams that break together get new paths
+        within milliseconds. Each would find the link without a backlog, and their
+        prompts would delay the streams that cross it.
         """
         return transfer_s(model, tokens) * max(1.0, self._hosts() * BURST_FRACTION)
 
@@ -64,14 +65,17 @@
             destination = stage.endpoint.data_centre
             if destination != source:
                 pair = frozenset((source, destination))
-                self._busy_until[pair] = (
-                    max(now, self._busy_until.get(pair, 0.0)) + duration_s
+                self._occupied_until[pair] = (
+                    max(now, self._occupied_until.get(pair, 0.0)) + duration_s
                 )
             source = destination
 
 
 def transfer_s(model: Model, tokens: int) -> float:
-    """Return the seconds for which a prompt's activations take a link."""
+    """Return the seconds for which the activations of ``tokens`` tokens occupy a link.
+
+    0 if the model states no bandwidth.
+    """
     if not model.data_centre_link_mbps:
         return 0.0
     return (
--- a/packages/router/src/hemlockhall_router/policy/silence.py
+++ b/packages/router/src/hemlockhall_router/policy/silence.py
@@ -9,16 +9,16 @@
 DEVIATION_FACTOR = 4.0
 # Intervals that are needed for an estimate.
 MIN_INTERVALS = 4
-# Lower bound of the limit as a fraction of the longest one: each probe costs a call,
-# and the host itself may be late by some milliseconds.
+# Lower bound of the limit as a fraction of its maximum: each probe is a request to the
+# endpoint, and this host itself may read an event some milliseconds late.
 MIN_LIMIT_FRACTION = 0.6
 
 
 class EventIntervalEstimator:
     """Moving average and deviation of the time between the events of a stream.
 
-    The silence of a steady stream is noticed before its longest event gap. The time
-    saved is left for the prefill of its prompt on another path.
+    The silence limit of a steady stream is below its maximum, which derives from the
+    route. The time saved is left for the prefill of its prompt on another path.
     """
 
     def __init__(self) -> None:
@@ -36,12 +36,12 @@
         self._average_s += AVERAGE_WEIGHT * error_s
         self._deviation_s += DEVIATION_WEIGHT * (abs(error_s) - self._deviation_s)
 
-    def silence_limit_s(self, longest_s: float) -> float:
-        """Return the silence after which to probe, ``longest_s`` at most."""
+    def silence_limit_s(self, max_limit_s: float) -> float:
+        """Return the seconds of silence after which to probe, at most the maximum."""
         if self._count < MIN_INTERVALS:
-            return longest_s
+            return max_limit_s
         expected_s = self._average_s + DEVIATION_FACTOR * self._deviation_s
-        return min(longest_s, max(longest_s * MIN_LIMIT_FRACTION, expected_s))
+        return min(max_limit_s, max(max_limit_s * MIN_LIMIT_FRACTION, expected_s))
 
 
 __all__ = [
--- a/packages/router/src/hemlockhall_router/version/__init__.py
+++ b/packages/router/src/hemlockhall_router/version/__init__.py
@@ -1,1 +1,1 @@
-"""State that lives as long as a version of the configuration or of the layout."""
+"""Routing configuration, layout planning and path search."""
--- a/packages/router/src/hemlockhall_router/version/balance.py
+++ b/packages/router/src/hemlockhall_router/version/balance.py
@@ -1,4 +1,4 @@
-"""Rebalancing: orders that add redundancy to copies of the model.
+"""Rebalancing: orders that add redundancy to a group or free memory for requests.
 
 They never take layers out of service.
 """
@@ -16,11 +16,13 @@
     from hemlockhall_router.version.member import Member
     from hemlockhall_router.version.routing import Model
 
-# Orders of one plan beyond which members that hold layers get no more of them. Loads
-# share the weight store, and the next repair must not wait for too many.
+# Orders for one group in one plan beyond which its members that hold layers get no
+# more. All loads share the store from which endpoints read the weights of layers, and
+# the next repair must not wait for too many of them.
 MAX_REBALANCE_ORDERS = 4
-# Fill fraction above which a redundant member takes over excess layers. Up to here a
-# member has memory for more than half as many requests as one at DEFAULT_FILL.
+# Fill fraction of a member above which empty or redundant members load its excess
+# layers. Up to here it has memory for more than half as many requests as a member at
+# DEFAULT_FILL.
 RELIEF_FILL = 0.8
 
 
@@ -76,10 +78,11 @@
 def _relieve(
     model: Model, overfull: Member, size: int, group: list[Member]
 ) -> dict[str, LayerRange]:
-    """Return orders for redundant members to load the excess layers of a full one.
+    """Return orders to load the excess layers of an overfull member, if any.
 
-    The full member took them over from a lost endpoint and has memory left for few
-    requests, which limits the whole copy. It drops them in a later plan.
+    Empty or redundant members load them. The overfull member took them over from a lost
+    endpoint and has memory left for few requests, which limits the whole copy of the
+    model. It drops them in a later plan.
     """
     assert overfull.assigned is not None
     excess = LayerRange(overfull.assigned.first, overfull.assigned.end - size)
@@ -103,8 +106,9 @@
 ) -> LayerRange:
     """Return the range of ``size`` layers where one more holder helps most.
 
-    Only ranges that begin or end where a present one does are considered, since
-    one of the two can then become redundant.
+    Only ranges at either end of the model are considered, and those that begin or end
+    where a present one does or where the number of holders changes: the new range can
+    then make a present holder redundant.
     """
     starts = {0, layers - size}
     for member in group:
--- a/packages/router/src/hemlockhall_router/version/coverage.py
+++ b/packages/router/src/hemlockhall_router/version/coverage.py
@@ -1,4 +1,7 @@
-"""Number of members of a group that hold each layer."""
+"""Number of members of a group that hold each layer.
+
+A holder of a layer is a member whose range contains it.
+"""
 
 from __future__ import annotations
 
@@ -68,7 +71,11 @@
         return gaps
 
     def is_redundant(self, member: Member) -> bool:
-        """Return whether other members hold all layers of a counted member."""
+        """Return whether other members hold all layers of a member.
+
+        Valid only for counts made by ``retained``, which count this member's own
+        retained layers once.
+        """
         assert member.assigned is not None
         retained = member.retained
         for layer in range(member.assigned.first, member.assigned.end):
@@ -80,9 +87,9 @@
     def redundancy_gain(self, first: int, end: int) -> float:
         """Return the benefit of one more holder of a range, without a unit.
 
-        A layer with a single holder is lost with it, so a second one helps most;
-        each further holder helps a fifth as much. The first layer counts as if it had
-        ``EXTRA_FIRST_LAYER_HOLDERS`` fewer.
+        The first holder of a layer counts 1, each further one a fifth of the one
+        before, since a layer with one holder is lost if that endpoint is. The first
+        layer counts as if it had ``EXTRA_FIRST_LAYER_HOLDERS`` fewer.
         """
         gain = sum(0.2**count for count in self.counts[first:end])
         if first <= 0 < end:
--- a/packages/router/src/hemlockhall_router/version/endpoint.py
+++ b/packages/router/src/hemlockhall_router/version/endpoint.py
@@ -24,7 +24,9 @@
 
     ``started_ms`` is the start of the process in Unix milliseconds, which identifies a
     restart under the same id; ``order_count`` is the number of orders that it began,
-    ``slots`` the number of requests that it takes at once.
+    ``slots`` the number of requests that it takes at once. A ``draining`` endpoint
+    takes no new requests, and its streams move to other paths. ``warmup_left_ms`` is
+    the rest of its warm-up as stated in its store entry.
     """
 
     id: str
@@ -55,9 +57,11 @@
 class EndpointReport:
     """State that an endpoint reports when it is probed.
 
-    ``busy`` tells that it is carrying out an order. ``slowdown`` is a factor on the
-    usual time of a token, 1.0 when normal. ``stalled`` lists the attempts that wait for
-    a dead endpoint.
+    ``busy`` tells that it is carrying out an order. ``queued`` and ``active`` count
+    requests. ``memory_used`` and ``memory_total`` describe the memory for requests;
+    only their ratio is used, so the unit does not matter. ``slowdown`` is a factor on
+    the usual time of a token, 1.0 when normal. ``stalled`` lists the ids of attempts
+    that wait for a dead endpoint.
     """
 
     busy: bool
--- a/packages/router/src/hemlockhall_router/version/layout.py
+++ b/packages/router/src/hemlockhall_router/version/layout.py
@@ -1,10 +1,11 @@
 """Layout planning: which endpoint should hold which layers.
 
-Each data centre with enough memory holds a complete copy of the model, because the
-activations of prompts saturate the links between data centres. A large data centre is
-divided into replicas with copies of their own. The remaining memory holds layers a
-second time: the loss of an endpoint whose layers are held twice interrupts nothing, and
-a redundant endpoint can take over layers of another one without an interruption.
+Each data centre with enough memory holds a copy of the model, that is, all of its
+layers, because the activations of prompts saturate the links between data centres. A
+large data centre is divided into replicas with copies of their own. The remaining
+memory holds layers a second time: the loss of an endpoint whose layers are held twice
+interrupts nothing, and a redundant endpoint can take over layers of another one without
+an interruption.
 """
 
 from __future__ import annotations
@@ -41,7 +42,8 @@
     bool, tuple[tuple[str, LayerRange | None, LayerRange | None, bool], ...]
 ]
 
-# Copies that the memory of a data centre must hold for it to form groups of its own.
+# Copies of the model that the memory of a data centre must hold for it to form groups
+# of its own.
 # What exceeds one copy is left for requests.
 MIN_GROUP_COPIES = 1.2
 
@@ -53,7 +55,7 @@
     serving: dict[str, LayerRange | None] | None = None,
     locked: frozenset[str] = frozenset(),
     division: ReplicaDivision | None = None,
-    converged: set[GroupState] | None = None,
+    balanced_states: set[GroupState] | None = None,
 ) -> dict[str, LayerRange]:
     """Return the layers that endpoints should be ordered to hold, by endpoint id.
 
@@ -74,36 +76,38 @@
         Ids of the endpoints that take no further order now.
     division : ReplicaDivision, optional
         Division of data centres into replicas; each is one replica if not given.
-    converged : set of GroupState, optional
+    balanced_states : set of GroupState, optional
         Group states that an earlier plan had no rebalancing orders for. They are
         skipped, and the set is updated, so that only changed groups are rebalanced.
     """
     serving = assigned if serving is None else serving
     members = _members(model, endpoints, assigned, serving, locked)
     groups = split_groups(model, members, division)
-    rebuild_index = _group_to_rebuild(model, groups)
+    interruptible_index = _group_to_interrupt(model, groups)
     repairs = []
     for index, group in enumerate(groups):
-        repairs.append(repair_group(model, group, rebuild=index == rebuild_index))
+        repairs.append(
+            repair_group(model, group, allow_interruption=index == interruptible_index)
+        )
     orders = _interleave(repairs)
     if orders:
         return orders
-    # Loads share the weight store, so while a copy is being repaired only members
-    # that hold no layers get rebalancing orders.
+    # Loads share the store of the weights, so while a group is being repaired only
+    # members that hold no layers get rebalancing orders.
     complete = not any(Coverage.retained(model, group).gaps() for group in groups)
-    skipped = converged if converged is not None else set()
-    newly_converged: set[GroupState] = set()
+    skipped = balanced_states if balanced_states is not None else set()
+    newly_balanced: set[GroupState] = set()
     for group in groups:
         state = _group_state(group, only_empty=not complete)
         rebalanced = {}
         if state not in skipped:
             rebalanced = rebalance_group(model, group, only_empty=not complete)
         if not rebalanced:
-            newly_converged.add(state)
+            newly_balanced.add(state)
         orders.update(rebalanced)
-    if converged is not None:
-        converged.clear()
-        converged.update(newly_converged)
+    if balanced_states is not None:
+        balanced_states.clear()
+        balanced_states.update(newly_balanced)
     return orders
 
 
@@ -147,9 +151,9 @@
     assigned: dict[str, LayerRange | None],
     division: ReplicaDivision | None = None,
 ) -> frozenset[str]:
-    """Return the ids of endpoints in groups whose paths have too many stages.
+    """Return the ids of endpoints in groups whose shortest path is too long.
 
-    Engines refuse paths of more than ``MAX_STAGES``.
+    Endpoints refuse paths of more than ``MAX_STAGES``.
     """
     ids: set[str] = set()
     members = _members(model, endpoints, assigned, assigned, frozenset())
@@ -180,12 +184,13 @@
     return members
 
 
-def _group_to_rebuild(model: Model, groups: list[list[Member]]) -> int | None:
-    """Return the index of the group that may drop layers nobody else holds, if any.
+def _group_to_interrupt(model: Model, groups: list[list[Member]]) -> int | None:
+    """Return the index of the group whose repair may interrupt its service, if any.
 
-    Shifting neighbours into a gap or redistributing all layers takes a group out of
-    service for seconds. Only one group does so at a time: with all copies out of
-    service every request would be refused.
+    Shifting neighbours into a gap or redistributing all layers makes members drop
+    layers that nobody else holds, which takes a group out of service for seconds.
+    Only one group does so at a time: with all copies out of service every request
+    would be refused.
     """
     chosen = None
     for index, group in enumerate(groups):
@@ -236,12 +241,12 @@
 
 
 def repair_group(
-    model: Model, group: list[Member], *, rebuild: bool = True
+    model: Model, group: list[Member], *, allow_interruption: bool = True
 ) -> dict[str, LayerRange]:
     """Return the orders that close the coverage gaps of a group.
 
-    The members are updated to the orders. Without ``rebuild`` no member is ordered to
-    drop layers that nobody else holds.
+    The members are updated to the orders. Without ``allow_interruption`` no member is
+    ordered to drop layers that nobody else holds.
     """
     if all(member.assigned is None for member in group):
         orders = initial_layout(model, group)
@@ -250,7 +255,7 @@
     gaps = Coverage(model, group).gaps()
     orders = {}
     if sum(gap.size for gap in gaps) > model.layers // 2:
-        if not rebuild:
+        if not allow_interruption:
             return {}
         orders = _changed(redistribute(model, group), group)
         _apply(group, orders)
@@ -262,10 +267,10 @@
         gap_orders = fill_by_growth(gap, group, DEFAULT_FILL)
         gap_orders = gap_orders or fill_by_spares(model, gap, group)
         gap_orders = gap_orders or fill_by_growth(gap, group, MAX_FILL)
-        if not gap_orders and rebuild:
+        if not gap_orders and allow_interruption:
             holding = [member for member in group if member.assigned is not None]
             gap_orders = fill_by_shifting(model, gap, holding)
-        if not gap_orders and rebuild:
+        if not gap_orders and allow_interruption:
             orders = _changed(redistribute(model, group), group)
             _apply(group, orders)
             return orders
--- a/packages/router/src/hemlockhall_router/version/path.py
+++ b/packages/router/src/hemlockhall_router/version/path.py
@@ -14,10 +14,10 @@
     from hemlockhall_router.version.endpoint import Endpoint
     from hemlockhall_router.version.routing import Model
 
-# Engines refuse paths of more stages.
+# Endpoints refuse paths of more stages.
 MAX_STAGES = 32
 # Time that a hop inside a data centre adds to each token: network delay (0.2 ms) and on
-# average half a forward pass of waiting at the next engine.
+# average half a forward pass of waiting at the next endpoint.
 HOP_MS = 0.8
 # Time added to each token by a first endpoint in another data centre. Only the request
 # and the response cross the link then, no activations.
@@ -48,7 +48,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Path:
-    """Stages in the order of their layers; ``cost_ms`` is the estimate for a token."""
+    """Stages in the order of their layers.
+
+    ``cost_ms`` is the cost by which paths are compared: milliseconds per token, with
+    penalties. It is that of the path before repeated stages are merged.
+    """
 
     stages: tuple[Stage, ...]
     cost_ms: float
@@ -101,31 +105,34 @@
     first_endpoint_ids : frozenset of str, optional
         Ids of endpoints that may be the first of the path; all if not given.
     """
-    cut_points = _find_cuts(model, endpoints, cost_of, first_endpoint_ids)
-    # The cheapest partial path to each cut, by the data centre of its last endpoint.
-    best: dict[int, dict[str, _PartialPath]] = {cut: {} for cut in cut_points.cuts}
-    for cut in cut_points.cuts[:-1]:
-        if cut > 0 and not best[cut]:
+    graph = _build_graph(model, endpoints, cost_of, first_endpoint_ids)
+    # The cheapest partial path to each boundary, by the data centre of its last
+    # endpoint.
+    best: dict[int, dict[str, _PartialPath]] = {
+        boundary: {} for boundary in graph.boundaries
+    }
+    for boundary in graph.boundaries[:-1]:
+        if boundary > 0 and not best[boundary]:
             continue
         arrivals: dict[str, tuple[_PartialPath | None, float]] = {}
-        for candidate in cut_points.candidates_at[cut]:
+        for candidate in graph.candidates_at[boundary]:
             data_centre = candidate.endpoint.data_centre
             if data_centre not in arrivals:
                 arrivals[data_centre] = _cheapest_arrival(
-                    best[cut], data_centre, home, cross_data_centre_ms
+                    best[boundary], data_centre, home, cross_data_centre_ms
                 )
             previous, arrival_cost = arrivals[data_centre]
             arrival_cost += candidate.cost.stage_ms
-            if cut == 0:
+            if boundary == 0:
                 arrival_cost += candidate.cost.start_ms
             for end in candidate.exits:
-                if end <= cut:
+                if end <= boundary:
                     continue
-                cost = arrival_cost + candidate.layer_ms * (end - cut)
+                cost = arrival_cost + candidate.layer_ms * (end - boundary)
                 best_known = best[end].get(data_centre)
                 if best_known is None or cost < best_known.cost:
                     best[end][data_centre] = _PartialPath(
-                        cost, candidate.endpoint, cut, previous
+                        cost, candidate.endpoint, boundary, previous
                     )
     complete = list(best[model.layers].values())
     if not complete:
@@ -135,7 +142,10 @@
 
 @dataclass(slots=True)
 class _Candidate:
-    """An endpoint that a path may use; ``exits`` are the cuts where it may end."""
+    """An endpoint that a path may use.
+
+    ``exits`` are the boundaries where the path may leave it.
+    """
 
     endpoint: Endpoint
     cost: EndpointCost
@@ -144,23 +154,25 @@
 
 
 @dataclass(slots=True)
-class _CutPoints:
-    """Sorted cuts between layers, and the endpoints that a path may enter at each."""
+class _BoundaryGraph:
+    """Sorted boundaries between layers, and the endpoints that may be entered there."""
 
-    cuts: list[int]
+    boundaries: list[int]
     candidates_at: dict[int, list[_Candidate]]
 
 
-def _find_cuts(
+def _build_graph(
     model: Model,
     endpoints: Iterable[Endpoint],
     cost_of: Callable[[Endpoint], EndpointCost],
     first_endpoint_ids: frozenset[str] | None,
-) -> _CutPoints:
-    """Return the cuts at which a path may change endpoints.
+) -> _BoundaryGraph:
+    """Return the boundaries at which a path may change endpoints.
 
     The cost is linear in the layer at which a path changes from one endpoint to the
-    next, so it is least where the range of the next begins or that of the first ends.
+    next, so it is least where the range of the next begins or that of the previous one
+    ends. A path thus leaves an endpoint where another range begins or at the end of its
+    own, and enters one where another range ends or at the beginning of its own.
     """
     firsts, ends = {0}, {0, model.layers}
     candidates = []
@@ -171,27 +183,31 @@
         firsts.add(max(0, layers.first))
         ends.add(min(model.layers, layers.end))
         candidates.append(_candidate(model, endpoint, cost_of(endpoint)))
-    cuts = sorted(firsts | ends)
-    exit_cuts = sorted(firsts)
-    entry_cuts = sorted(ends)
-    candidates_at: dict[int, list[_Candidate]] = {cut: [] for cut in cuts}
+    boundaries = sorted(firsts | ends)
+    exit_boundaries = sorted(firsts)
+    entry_boundaries = sorted(ends)
+    candidates_at: dict[int, list[_Candidate]] = {
+        boundary: [] for boundary in boundaries
+    }
     for candidate in candidates:
         layers = candidate.endpoint.layers
         assert layers is not None
         first, end = max(0, layers.first), min(model.layers, layers.end)
-        inner = exit_cuts[bisect_right(exit_cuts, first) : bisect_left(exit_cuts, end)]
+        inner = exit_boundaries[
+            bisect_right(exit_boundaries, first) : bisect_left(exit_boundaries, end)
+        ]
         candidate.exits = [*inner, end]
-        for cut in entry_cuts[bisect_right(entry_cuts, first) :]:
-            if cut >= end:
+        for boundary in entry_boundaries[bisect_right(entry_boundaries, first) :]:
+            if boundary >= end:
                 break
-            candidates_at[cut].append(candidate)
+            candidates_at[boundary].append(candidate)
         if (
             first > 0
             or first_endpoint_ids is None
             or candidate.endpoint.id in first_endpoint_ids
         ):
             candidates_at[first].append(candidate)
-    return _CutPoints(cuts, candidates_at)
+    return _BoundaryGraph(boundaries, candidates_at)
 
 
 def _candidate(model: Model, endpoint: Endpoint, cost: EndpointCost) -> _Candidate:
@@ -245,7 +261,7 @@
 def _merge_repeated(stages: list[Stage]) -> list[Stage]:
     """Merge two stages of the same endpoint and all stages between them.
 
-    Engines refuse a path that contains them twice. An endpoint holds one contiguous
+    Endpoints refuse a path that contains them twice. An endpoint holds one contiguous
     range, so it can run the layers between its two stages itself.
     """
     merged: list[Stage] = []
--- a/packages/router/src/hemlockhall_router/version/repair.py
+++ b/packages/router/src/hemlockhall_router/version/repair.py
@@ -1,4 +1,4 @@
-"""Repair: ways to close a coverage gap in a copy of the model."""
+"""Repair: ways to close a coverage gap of a group."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 def fill_by_growth(
     gap: LayerRange, group: list[Member], fill: float
 ) -> dict[str, LayerRange]:
-    """Extend the members on both sides of a gap into it, or return no orders.
+    """Extend the members next to a gap into it, or return no orders.
 
-    No layers go out of service, and both members load at the same time. Each fills at
-    most the fraction ``fill`` of its memory.
+    One member is extended, or one on each side, which then load at the same time. Each
+    fills at most the fraction ``fill`` of its memory. No layers go out of service.
     """
     holding = [member for member in group if member.assigned is not None]
     before = _neighbour_before(holding, gap.first, [])
@@ -28,12 +28,12 @@
     if spare_before + spare_after < gap.size:
         return {}
     half = gap.size // 2 if spare_after else gap.size
-    cut = gap.first + min(spare_before, max(gap.size - spare_after, half))
+    split = gap.first + min(spare_before, max(gap.size - spare_after, half))
     orders: dict[str, LayerRange] = {}
-    if before is not None and before.assigned is not None and cut > gap.first:
-        orders[before.endpoint.id] = LayerRange(before.assigned.first, cut)
-    if after is not None and after.assigned is not None and cut < gap.end:
-        orders[after.endpoint.id] = LayerRange(cut, after.assigned.end)
+    if before is not None and before.assigned is not None and split > gap.first:
+        orders[before.endpoint.id] = LayerRange(before.assigned.first, split)
+    if after is not None and after.assigned is not None and split < gap.end:
+        orders[after.endpoint.id] = LayerRange(split, after.assigned.end)
     return orders
 
 
@@ -158,21 +158,25 @@
 
 
 def _distribute(
-    window: LayerRange, gap: LayerRange, left: list[Member], right: list[Member]
+    span: LayerRange, gap: LayerRange, left: list[Member], right: list[Member]
 ) -> dict[str, LayerRange]:
-    """Distribute a window of layers, the gap in proportion to spare layers."""
+    """Return orders for the members around a gap that shift into it.
+
+    ``span`` is what they hold together, with the gap. The layers of the gap are
+    distributed in proportion to spare layers.
+    """
     members = left + right
     total = sum(member.spare_layers for member in members)
     orders: dict[str, LayerRange] = {}
-    first = window.first
+    first = span.first
     cumulative = 0
     gained_total = 0
-    position = window.first
+    position = span.first
     for member in members:
         assert member.assigned is not None
         if member in right and position < gap.end:
             position = gap.end
-        size = _window_size(member, position, left, right, gap)
+        size = _own_size(member, position, left, right, gap)
         position += size
         cumulative += member.spare_layers
         gained = round(gap.size * cumulative / total) - gained_total
@@ -184,14 +188,17 @@
     return orders
 
 
-def _window_size(
+def _own_size(
     member: Member,
     start: int,
     left: list[Member],
     right: list[Member],
     gap: LayerRange,
 ) -> int:
-    """Return how many layers of the window a member holds from ``start`` on."""
+    """Return how many layers from ``start`` on count as a member's own.
+
+    Layers that two members hold count for the one nearer to the gap.
+    """
     assert member.assigned is not None
     side = left if member in left else right
     index = side.index(member)
--- a/packages/router/src/hemlockhall_router/version/replica.py
+++ b/packages/router/src/hemlockhall_router/version/replica.py
@@ -18,10 +18,11 @@
     from hemlockhall_router.version.endpoint import Endpoint
     from hemlockhall_router.version.routing import Model
 
-# Copies that the memory of the smallest replica must hold for a data centre to be split
-# once more, and below which it is split once less. The two differ so that endpoints
-# which come and go do not split and merge it repeatedly.
+# A data centre is split once more if the memory of its smallest replica then still
+# holds this many copies of the model.
 SPLIT_COPIES = 3.0
+# It is split once less if the memory of its smallest replica holds fewer copies. The
+# two differ so that endpoints which come and go do not split and merge it repeatedly.
 MERGE_COPIES = 2.0
 # Splits of a data centre; n of them make 2**n replicas.
 MAX_SPLITS = 12
--- a/packages/router/src/hemlockhall_router/version/routing.py
+++ b/packages/router/src/hemlockhall_router/version/routing.py
@@ -13,7 +13,10 @@
 
 
 class RouteKind(Enum):
-    """Kind of a route's requests, which decides whether they may be retried."""
+    """Kind of a route's requests: whether they may run twice, or are streams.
+
+    ``NON_IDEMPOTENT`` is named ``once`` in the configuration.
+    """
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "once"
@@ -22,7 +25,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Target:
-    """A service and its weighted share of a route's requests."""
+    """A service that gets a route's requests in proportion to ``weight``."""
 
     service: str
     weight: float
@@ -34,7 +37,11 @@
 
     ``timeout_s`` limits the whole request. ``latency_objective_s`` is the objective
     for the first event, ``max_event_gap_s`` the longest gap between two events of a
-    stream; 0 states none. ``resumable`` streams can go on at another path.
+    stream; either is 0 if the route states none. ``resumable`` streams can continue on
+    another path. ``max_attempts`` counts endpoints: a plain request that may have run
+    is not retried once it was tried at so many, and a stream may run at no more first
+    endpoints at a time. ``public`` routes need no API key. The router
+    does not use ``priority``.
     """
 
     name: str
@@ -52,7 +59,10 @@
 
     @property
     def retryable(self) -> bool:
-        """Whether a request may be executed more than once."""
+        """Whether a request may be executed more than once.
+
+        Others are retried too, but only after attempts that were not executed.
+        """
         if self.kind is RouteKind.IDEMPOTENT:
             return True
         return self.kind is RouteKind.STREAM and self.resumable
@@ -62,8 +72,8 @@
 class Accelerator:
     """A kind of accelerator.
 
-    ``step_factor`` and ``prefill_factor`` multiply the model's times for a decode step
-    and for prefill.
+    Layers and requests share ``memory_mb``. ``step_factor`` and ``prefill_factor``
+    multiply the model's times for a decode step and for prefill.
     """
 
     memory_mb: float
@@ -73,12 +83,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Model:
-    """A model that is split by layers, and its costs on the base accelerator.
-
-    ``kv_bytes_per_token``, ``load_all_layers_s``, ``step_ms`` and
-    ``prefill_tokens_per_s`` are for all layers together. Each hop of a token sends
-    ``activation_bytes_per_token``. The weight store serves ``concurrent_loads`` loads
-    at full speed.
+    """A model that is split by layers, and its costs.
+
+    Times are those of an accelerator whose factors are 1. ``kv_bytes_per_token``,
+    ``load_all_layers_s``, ``step_ms`` and ``prefill_tokens_per_s`` are for all layers
+    together. Each hop of a token sends ``activation_bytes_per_token``.
+    ``data_centre_link_mbps`` is the bandwidth between two data centres in megabits per
+    second. The store from which endpoints load layers serves ``concurrent_loads`` loads
+    at full speed. ``step_ms_per_sequence`` is not used by the router.
     """
 
     layers: int
@@ -105,7 +117,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Service:
-    """Endpoints that serve the same requests; ``slots`` are per endpoint."""
+    """Endpoints that serve the same requests.
+
+    ``slots`` is the number of requests that each endpoint of a model takes at once;
+    with 0, path costs ignore it. The router does not use ``health_path`` and
+    ``max_connections``.
+    """
 
     name: str
     health_path: str
@@ -116,7 +133,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Customer:
-    """A customer, who is identified by an API key."""
+    """A customer, who is identified by an API key.
+
+    ``priority`` is not used by the router.
+    """
 
     name: str
     priority: int | None = None
@@ -127,6 +147,8 @@
     """One version of the configuration.
 
     ``routes`` is keyed by host, then by path prefix; ``customers`` by API key.
+    ``limits`` bound what callers may send. With ``keys_required``, requests need a
+    known API key, except on public routes.
     """
 
     version: int
--- a/packages/router/src/hemlockhall_router/version/target.py
+++ b/packages/router/src/hemlockhall_router/version/target.py
@@ -10,9 +10,10 @@
     from hemlockhall_router.version.member import Member
     from hemlockhall_router.version.routing import Model
 
-# Copies that a group should hold: ranges must overlap for layers to move from one
-# member to another without an interruption.
-MIN_COVERAGE = 1.05
+# Copies of the model that the layout of a group should hold: ranges must overlap for
+# layers to move from one member to another without an interruption.
+MIN_LAYOUT_COPIES = 1.05
+# Step of the search for a fill fraction.
 FILL_STEP = 0.01
 
 
@@ -24,15 +25,15 @@
 def choose_fill(model: Model, group: list[Member]) -> float:
     """Return the fraction of its memory that each member's layers should fill.
 
-    It is above ``DEFAULT_FILL`` only where that holds fewer than ``MIN_COVERAGE``
-    copies. The neighbours of a member that took over too many layers then grow, which
-    lets it drop the excess.
+    It is above ``DEFAULT_FILL`` only where that holds fewer than ``MIN_LAYOUT_COPIES``
+    copies. Members next to an overfull one then load its excess layers, which it can
+    drop afterwards.
     """
     fill = DEFAULT_FILL
     while fill < MAX_FILL:
         if (
             sum(target_size(model, member, fill) for member in group)
-            >= model.layers * MIN_COVERAGE
+            >= model.layers * MIN_LAYOUT_COPIES
         ):
             break
         fill += FILL_STEP
--- a/tests/router/test_layout.py
+++ b/tests/router/test_layout.py
@@ -257,8 +257,8 @@
     def test_a_copy_that_is_loading_is_not_counted_as_serving(self) -> None:
         """Guards against two data centres that are redistributed at the same time.
 
-        Losses leave gaps in both. When layers that were only ordered counted as
-        served, both went out of service, and the third could not serve their callers.
+        Losses leave gaps in both. If layers that are only ordered counted as served,
+        both would go out of service, and the third could not serve their callers.
         """
         endpoints = make_endpoints()
         assigned: dict[str, LayerRange | None] = {}
@@ -305,7 +305,7 @@
         """Guards against an endpoint that keeps layers it took over from a lost one.
 
         It has memory for few requests, and all requests of the data centre pass it, so
-        most were refused while other endpoints could hold these layers.
+        most would be refused while other endpoints could hold these layers.
         """
         endpoints = make_endpoints()
         assigned: dict[str, LayerRange | None] = {}
@@ -340,7 +340,7 @@
         """Guards against neighbours that fill up while there are redundant endpoints.
 
         Every request passes the neighbours, which then have memory for few of them, so
-        most were refused.
+        most would be refused.
         """
         endpoints = make_endpoints()
         assigned: dict[str, LayerRange | None] = {}
@@ -355,9 +355,9 @@
 
 class TestDroppedLayers:
     def test_holders_of_the_same_layers_do_not_all_drop_them(self) -> None:
-        """Guards against full endpoints that all drop the same layers for memory.
+        """Guards against overfull endpoints that all drop the same layers for memory.
 
-        Each of them sees the layers at the others; no path is left without them.
+        Each would count on the others for the layers; no path would be left.
         """
         kinds = {"f": Accelerator(80 * 1750.0, 1.0, 1.0)}
         model = replace(MODEL, accelerators=kinds)
--- a/tests/router/test_load_fleet.py
+++ b/tests/router/test_load_fleet.py
@@ -1,4 +1,4 @@
-"""Load pattern: many endpoints, divided into replicas."""
+"""Planning and path search with many endpoints, divided into replicas."""
 
 from __future__ import annotations
 
@@ -33,7 +33,8 @@
     "t": Accelerator(14_400.0, 15.0, 15.0),
 }
 MODEL = large_model(ACCELERATORS)
-# Copies that the memory of a data centre must hold for it to hold one of its own.
+# Copies of the model that the memory of a data centre must hold for it to hold one of
+# its own, as in the layout planning.
 MIN_GROUP_COPIES = 1.2
 
 
--- a/tests/router/test_load_loss.py
+++ b/tests/router/test_load_loss.py
@@ -1,4 +1,4 @@
-"""Load pattern: the loss of an endpoint, whose streams all move at once."""
+"""Path choice when an endpoint is lost and all of its streams move at once."""
 
 from __future__ import annotations
 
@@ -61,9 +61,9 @@
 class TestLostEndpoint:
     """Guards against hosts that all move the streams of a lost endpoint to one other.
 
-    Sixty streams move within milliseconds and need a new prefill. Hosts that did not
-    know of each other's choices all took the fastest endpoint, whose prefill took a
-    second, so that all streams were late while two other endpoints were idle.
+    Sixty streams move within milliseconds and need a new prefill. Hosts that do not
+    know of each other's choices would all take the fastest endpoint, whose prefill then
+    takes a second: all streams would be late while two other endpoints are idle.
     """
 
     @pytest.mark.parametrize("seed", range(5))
--- a/tests/router/test_load_pipe.py
+++ b/tests/router/test_load_pipe.py
@@ -1,4 +1,4 @@
-"""Load pattern: an incomplete copy, whose requests use other data centres."""
+"""Path choice when a data centre lacks layers and its requests run in others."""
 
 from __future__ import annotations
 
@@ -87,9 +87,9 @@
 class TestIncompleteCopy:
     """Guards against hosts that together send more prompts than a link carries.
 
-    A data centre lost half of its layers, and another one holds them. All hosts sent
-    their prompts there, twice the bandwidth of the link, and every stream was late,
-    including those that had not moved.
+    A data centre has lost half of its layers, and another one holds them. If all hosts
+    sent their prompts there, twice the bandwidth of the link, every stream would be
+    late, including those that have not moved.
     """
 
     # Objective: the transfers of all hosts fit into the bandwidth.
