--- a/packages/router/src/hemlockhall_router/request/active_stream.py
+++ b/packages/router/src/hemlockhall_router/request/active_stream.py
@@ -19,6 +19,8 @@
 class MoveRequestedError(Exception):
     """The stream should continue on another path.
 
+    Raised after ``ActiveStream.request_move``, and by an attempt whose events stop.
+
     Parameters
     ----------
     cause : str
@@ -42,7 +44,9 @@
     """One attempt of a stream, watched for silence and movable to another path.
 
     Times are monotonic seconds. ``last_event_at`` is the time of creation until
-    the first event.
+    the first event, ``move_requested_at`` the time of the last accepted move request.
+    The prober sets ``probe_requested`` when the silence limit is exceeded; the next
+    event clears it.
 
     Parameters
     ----------
@@ -90,7 +94,8 @@
         """Return whether the stream exceeded its limit and needs a probe request.
 
         Silence before ``reading_since`` does not count: until then this host was
-        stalled and read nothing itself. ``factor`` multiplies the limit.
+        stalled and read nothing itself. ``factor`` multiplies the limit; the prober
+        raises it after probes that found nothing.
         """
         if self.probe_requested:
             return False
--- a/packages/router/src/hemlockhall_router/request/attempt.py
+++ b/packages/router/src/hemlockhall_router/request/attempt.py
@@ -13,7 +13,7 @@
 )
 from hemlockhall_router.request.active_stream import ActiveStream, MoveRequestedError
 from hemlockhall_router.request.events import EventSplitter
-from hemlockhall_router.request.failure import AttemptFailedError, decode_id
+from hemlockhall_router.request.failure import AttemptFailedError, decode_value
 from hemlockhall_router.request.plain import CONNECT_TIMEOUT_S
 from hemlockhall_router.request.reason import RetryReason
 from hemlockhall_router.request.relay import (
@@ -32,7 +32,8 @@
     from hemlockhall_router.request.timeouts import StreamTimeouts
     from hemlockhall_router.version.path import Path
 
-# An endpoint on the path is full, draining or dead; a probe tells which.
+# Status by which an endpoint on the path declines a request: it is full, draining or
+# dead. A probe tells which.
 SERVICE_UNAVAILABLE = 503
 
 
@@ -85,7 +86,7 @@
         Raises
         ------
         AttemptFailedError
-            If the endpoint cannot be reached, refuses, or fails.
+            If the endpoint cannot be reached, refuses, fails, or sends no head in time.
         MoveRequestedError
             If the stream was asked to move meanwhile.
         """
@@ -115,9 +116,11 @@
         Raises
         ------
         AttemptFailedError
-            If the connection broke, or the stream ended inside an event.
+            If the connection broke, the stream ended inside an event, or the
+            request's deadline passed without an event.
         MoveRequestedError
-            If the stream was asked to move, or no event came in time.
+            If the stream was asked to move, or no event came in time before that
+            deadline.
         """
         assert self._conn is not None
         timeouts = self._timeouts
@@ -208,7 +211,10 @@
 
     @contextmanager
     def _translate_errors(self) -> Iterator[None]:
-        """Probe the path and raise ``AttemptFailedError`` on transport errors."""
+        """Raise ``AttemptFailedError`` on transport errors.
+
+        The path is then probed, and the timeouts of the stream are lengthened.
+        """
         try:
             yield
         except TransportError as exc:
@@ -225,6 +231,7 @@
     def _check_head(self, head: ResponseHead) -> None:
         """Raise ``AttemptFailedError`` unless a stream follows that can be relayed."""
         names = self._context.dialect.headers
+        # 421 (Misdirected Request): another endpoint has the address.
         not_executed = head.header(names.not_executed) is not None or head.status == 421
         if not_executed:
             suspects = [self._report_refusal(head)]
@@ -250,9 +257,10 @@
     def _report_refusal(self, head: ResponseHead) -> str:
         """Record which endpoint on the path refused the request; return its id.
 
-        The first endpoint is assumed if the response names none on the path.
+        If the response names none on the path, nothing is recorded and the id of the
+        first endpoint is returned.
         """
-        failed_address = decode_id(
+        failed_address = decode_value(
             head.header(self._context.dialect.headers.failed_endpoint) or b""
         )
         for stage in self.path.stages:
--- a/packages/router/src/hemlockhall_router/request/failure.py
+++ b/packages/router/src/hemlockhall_router/request/failure.py
@@ -44,12 +44,12 @@
         self.suspects = frozenset(suspects)
 
 
-def decode_id(value: bytes) -> str:
-    """Decode an id as sent in a header or event, for a log line."""
+def decode_value(value: bytes) -> str:
+    """Decode an id or address as sent in a header or event."""
     return value.decode("latin-1")
 
 
 __all__ = [
     "AttemptFailedError",
-    "decode_id",
+    "decode_value",
 ]
--- a/packages/router/src/hemlockhall_router/request/plain.py
+++ b/packages/router/src/hemlockhall_router/request/plain.py
@@ -13,7 +13,7 @@
     NotSentError,
     TransportError,
 )
-from hemlockhall_router.request.failure import AttemptFailedError, decode_id
+from hemlockhall_router.request.failure import AttemptFailedError, decode_value
 from hemlockhall_router.request.reason import RefusalReason, RetryReason
 from hemlockhall_router.request.relay import (
     InFlightTracker,
@@ -27,17 +27,18 @@
     from hemlockhall_router.process.directory import EndpointRecord
     from hemlockhall_router.request.response_writer import ResponseWriter
 
-# Far above the network delay within a region, far below the latency objectives.
+# Far above the network delay between the data centres of a region, far below the
+# latency objectives.
 CONNECT_TIMEOUT_S = 0.3
 # An idempotent request is retried after an endpoint has been silent for this
 # multiple of its average latency, but not before the minimum.
 LATENCY_TIMEOUT_FACTOR = 6.0
 MIN_RESPONSE_TIMEOUT_S = 0.4
-# Bounds the attempts that were not executed, which the route does not limit.
+# Limit on the attempts that were not executed, which the route does not limit.
 MAX_UNEXECUTED_ATTEMPTS = 4
 # Late responses to earlier requests that are skipped on one connection.
-MAX_STALE_RESPONSES = 3
-# Retry-After if endpoints refused the request, and if there is none to use.
+MAX_LATE_RESPONSES = 3
+# Retry-After if no endpoint executed the request, and if there was none to try.
 RETRY_AFTER_FULL_S = 0.5
 RETRY_AFTER_NO_ENDPOINT_S = 1.0
 
@@ -89,7 +90,7 @@
         self._context.metrics.count_retry(exc.reason)
         logger.info(
             "try failed",
-            request=decode_id(request.id),
+            request=decode_value(request.id),
             endpoint=record.endpoint.id,
             reason=exc.reason.value,
             cause=str(exc),
@@ -130,6 +131,7 @@
             with InFlightTracker(context.directory, [endpoint.id]):
                 response = await self._exchange(conn, record)
         except TransportError as exc:
+            # Any transport error after this time counts as silence, also a reset.
             silent = time.monotonic() - started > MIN_RESPONSE_TIMEOUT_S
             context.directory.record_failure(endpoint.id, str(exc))
             reason = RetryReason.SILENT if silent else RetryReason.BROKEN
@@ -147,7 +149,7 @@
         data = encode_upstream_request(request, context.dialect, record.endpoint)
         await conn.send(data, request.deadline)
         deadline = self._response_deadline(record)
-        for _ in range(MAX_STALE_RESPONSES):
+        for _ in range(MAX_LATE_RESPONSES):
             no_body = request.head.method == b"HEAD"
             response = await conn.read_response(deadline, no_body=no_body)
             echoed = response.head.header(context.dialect.headers.request_id)
@@ -155,7 +157,7 @@
                 return response
             # A late response to an earlier request on this connection; the response
             # to this one follows it.
-            logger.warning("stale response skipped", request=decode_id(request.id))
+            logger.warning("late response skipped", request=decode_value(request.id))
         raise ConnectionLostError("received only responses to other requests")
 
     def _response_deadline(self, record: EndpointRecord) -> float:
@@ -173,7 +175,11 @@
     def _check_response(
         self, record: EndpointRecord, response: Response, response_time_s: float
     ) -> Response:
-        """Return the response to relay, or raise ``AttemptFailedError``."""
+        """Return the response to relay, or raise ``AttemptFailedError``.
+
+        Status 421 (Misdirected Request) means that another endpoint has the address. A
+        response without a signature was not sent by an endpoint.
+        """
         names = self._context.dialect.headers
         status = response.head.status
         endpoint_id = record.endpoint.id
@@ -207,7 +213,9 @@
     async def _give_up(self, refusal: RefusalReason) -> None:
         """Respond without another attempt.
 
-        The status is 503 only if no attempt can have been executed.
+        A complete error response of an endpoint is forwarded. Otherwise the status is
+        503 if no attempt can have been executed, 504 after the deadline, or 502. The
+        last two are also sent after a response that cannot be relayed.
         """
         request = self._request
         if self._error_response is not None:
@@ -221,7 +229,7 @@
         self._context.metrics.count_refusal(refusal)
         logger.warning(
             "request given up",
-            request=decode_id(request.id),
+            request=decode_value(request.id),
             route=request.route.name,
             reason=refusal.value,
             tried=sorted(self._attempted_ids),
--- a/packages/router/src/hemlockhall_router/request/reason.py
+++ b/packages/router/src/hemlockhall_router/request/reason.py
@@ -1,4 +1,4 @@
-"""Reasons of refusals and retries; each value is the label of a counter."""
+"""Reasons of failures that callers see and of failed attempts, as counter labels."""
 
 from __future__ import annotations
 
@@ -8,8 +8,14 @@
 class RefusalReason(Enum):
     """Why this host answered a request itself, or gave a stream up.
 
-    ``UNCERTAIN`` and ``TIMEOUT`` mean that the request may have run, ``DEADLINE``
-    that its time was over before it ran.
+    ``UNREADABLE`` means that the request could not be read from the caller,
+    ``LEAVING`` that this host shuts down before the request could be complete.
+
+    ``UNCERTAIN`` and ``TIMEOUT`` mean that the request may have run, or that a stream
+    ended after its first event. ``DEADLINE`` means that the time of the request was
+    over before it ran, ``ENDPOINTS_FULL`` that no endpoint executed it although some
+    were tried. A resumable stream that may have run without an event for the caller
+    counts as ``ENDPOINTS_FULL``, or as ``RETRY_BUDGET`` if that was exhausted.
     """
 
     NO_CONFIGURATION = "no_configuration"
@@ -29,8 +35,10 @@
 class RetryReason(Enum):
     """Why an attempt failed, or a stream moved or did not move.
 
-    ``NOT_SENT`` and ``REJECTED`` mean that the request was not executed.
-    ``STAYED`` counts moves that failed: the stream stayed on its path.
+    ``NOT_SENT`` and ``REJECTED`` mean that the request was not executed. ``BROKEN``
+    is a lost connection or a stream that ended early, ``SILENT`` a missing response
+    or event, ``FAILED`` a response that is an error or cannot be relayed. ``STAYED``
+    counts moves that failed: the stream stayed on its path.
     """
 
     NOT_SENT = "not_sent"
--- a/packages/router/src/hemlockhall_router/request/relay.py
+++ b/packages/router/src/hemlockhall_router/request/relay.py
@@ -1,4 +1,4 @@
-"""What plain and stream relays share: the request, its context, its counts."""
+"""The request, its context and its in-flight counts, for plain and stream relays."""
 
 from __future__ import annotations
 
@@ -29,7 +29,11 @@
 
 @dataclass(slots=True)
 class RelayContext:
-    """The components of the process that a relay uses."""
+    """The components of the process that a relay uses.
+
+    ``dialect`` translates between this host and a deployment: header names and
+    encodings.
+    """
 
     dialect: Dialect
     pool: ConnectionPool
@@ -88,8 +92,8 @@
 ) -> bytes:
     """Return the encoded request for an endpoint.
 
-    Headers that only this host may set are removed from the caller's request: a
-    caller that sent them could act for another customer or choose its endpoint.
+    Headers that callers must not set are removed from the caller's request: a caller
+    that sent them could act for another customer or choose its endpoint.
     """
     names = dialect.headers
     replaced = {
@@ -126,7 +130,8 @@
 class InFlightTracker:
     """Counts a request and its tokens in the records of its endpoints.
 
-    A stream is also registered there, so that it is moved if one of them fails.
+    All of its tokens, with those of the output, count as prefill tokens until its first
+    event. A stream is also registered there, so that it is moved if one of them fails.
     """
 
     def __init__(
@@ -169,7 +174,7 @@
             record.prefill_tokens -= self._tokens
 
     def record_event(self) -> None:
-        """Record that an event arrived through the endpoints."""
+        """Record that an event arrived at this host through the endpoints."""
         now = time.monotonic()
         for record in self._records:
             record.last_event_at = record.last_local_event_at = now
--- a/packages/router/src/hemlockhall_router/request/response_writer.py
+++ b/packages/router/src/hemlockhall_router/request/response_writer.py
@@ -22,7 +22,8 @@
     )
 
 CLOSE = (b"Connection", b"close")
-# Statuses that tell the caller that the request was not and will not be executed.
+# Statuses of which each tells the caller that the request was not and will not be
+# executed. Others, such as 401 and 404, mean this too.
 NOT_EXECUTED_STATUSES = frozenset((408, 421, 429, 503))
 
 
@@ -39,16 +40,16 @@
         The caller's connection.
     head : RequestHead
         The request that is responded to.
-    closing : callable
+    should_close : callable
         Returns whether the connection should be closed after this response.
     """
 
     def __init__(
-        self, reader: CallerReader, head: RequestHead, closing: Callable[[], bool]
+        self, reader: CallerReader, head: RequestHead, should_close: Callable[[], bool]
     ) -> None:
         self._reader = reader
         self._head = head
-        self._closing = closing
+        self._should_close = should_close
         self.status = 0
         self.close_connection = False
         self.complete = False
@@ -101,7 +102,7 @@
         self, status: int, reason: bytes, headers: Headers, body: bytes
     ) -> None:
         self.close_connection = (
-            self.close_connection or self._closing() or not self._head.keep_alive
+            self.close_connection or self._should_close() or not self._head.keep_alive
         )
         if self.close_connection:
             headers.append(CLOSE)
--- a/packages/router/src/hemlockhall_router/request/stream.py
+++ b/packages/router/src/hemlockhall_router/request/stream.py
@@ -11,7 +11,7 @@
 
 from hemlockhall_router.request.active_stream import MoveRequestedError
 from hemlockhall_router.request.attempt import Attempt
-from hemlockhall_router.request.failure import AttemptFailedError, decode_id
+from hemlockhall_router.request.failure import AttemptFailedError, decode_value
 from hemlockhall_router.request.plain import (
     RETRY_AFTER_FULL_S,
     RETRY_AFTER_NO_ENDPOINT_S,
@@ -31,22 +31,25 @@
 # lost endpoint are usually loaded elsewhere by then, sooner than a refused caller
 # would retry. Later requests are refused: it is unknown when a path returns.
 PATH_RESTORE_WAIT_S = 1.3
-# Fraction of the latency objective for which every request waits for a path: an
-# endpoint that failed just before is often back by then.
+# Fraction of the latency objective for which a request without a path waits at least.
+# After it, endpoints that failed the request are used again: they are often back.
 MIN_PATH_WAIT_FRACTION = 0.12
+# Initial time between two searches for a path, and between two attempts to take a retry
+# from the budget.
 POLL_INTERVAL_S = 0.02
 # The interval between searches for a path grows while a stream waits.
 MAX_POLL_INTERVAL_S = 0.1
 POLL_BACKOFF_FACTOR = 1.2
 # Timeout of a move of a stream that is still served, as a multiple of the
-# maximum event gap. After it the stream does better to stay.
+# maximum event gap. After it the stream stays on its path.
 MOVE_TIMEOUT_FACTOR = 1.0
-# Multiple of the latency objective after which a request that endpoints refused for
-# lack of memory gets a 503 with Retry-After. Callers give up after four objectives;
-# one that is kept waiting until then gets no Retry-After and retries later.
+# Multiple of the latency objective after which a request gets a 503 with Retry-After if
+# it was tried but not executed, usually for lack of memory. Callers give up after four
+# times the latency objective; one that is kept waiting until then gets no Retry-After
+# and retries later.
 CAPACITY_WAIT_FACTOR = 2.0
-# Bounds the work for one request. A stream of which the caller has events continues
-# after them, one attempt per interval.
+# Limit on the attempts of one request. A stream of which the caller has events is not
+# given up at this limit: one attempt per EXTRA_ATTEMPT_INTERVAL_S follows.
 MAX_ATTEMPTS = 12
 EXTRA_ATTEMPT_INTERVAL_S = 0.5
 
@@ -64,9 +67,10 @@
         self._attempt: Attempt | None = None
         self._last_id: bytes | None = None
         self._may_have_run = False
-        self._rejected = False
+        self._had_unexecuted_attempt = False
         self._retries_exhausted = False
         self._excluded_ids: set[str] = set()
+        # Attempts sent, without the one in progress; every attempt to move counts.
         self._attempts_sent = 0
         self._retry_acquired = False
         self._executed_at: dict[str, Endpoint] = {}
@@ -154,9 +158,15 @@
         """Move to another path if one accepts the stream; stay otherwise.
 
         The present endpoints are draining or slow but still serve the stream. If it
-        left them first and found no room elsewhere, it would be lost, which is
+        left them first and no other path had memory for it, it would be lost, which is
         likely when all streams of an endpoint move at once. Events that the old
         attempt sends meanwhile are not read, so that the two never mix.
+
+        Raises
+        ------
+        AttemptFailedError
+            If the stream is silent, no other path takes it, and the retry budget
+            allows a retry.
         """
         old = self._attempt
         assert old is not None
@@ -227,13 +237,14 @@
         return len(used) < self._request.route.max_attempts
 
     def _log_failure(self, attempt: Attempt, reason: RetryReason, cause: str) -> None:
+        """Log a failed attempt, a move off its path, or a failed move to its path."""
         logger.info(
             "stream broke",
-            request=decode_id(self._request.id),
+            request=decode_value(self._request.id),
             reason=reason.value,
             cause=cause,
             path=attempt.endpoint_ids,
-            after=decode_id(self._last_id or b""),
+            after=decode_value(self._last_id or b""),
         )
 
     def _handle_failure(self, exc: AttemptFailedError) -> bool:
@@ -249,7 +260,7 @@
             self._may_have_run = True
             self._record_execution(attempt)
             return request.route.retryable
-        self._rejected = True
+        self._had_unexecuted_attempt = True
         return True
 
     async def _find_path(self) -> Path | None:
@@ -306,8 +317,8 @@
         )
 
     def _capacity_wait_expired(self) -> bool:
-        """Return whether a request that was refused has waited too long for memory."""
-        if self._writer.started or not self._rejected:
+        """Return whether a request that was not executed has waited too long."""
+        if self._writer.started or not self._had_unexecuted_attempt:
             return False
         return (
             self._times.elapsed_s
@@ -338,7 +349,7 @@
         self._context.metrics.longest_pause.record(times.longest_event_gap_s)
         logger.info(
             "stream ended",
-            request=decode_id(self._request.id),
+            request=decode_value(self._request.id),
             first_ms=round(times.first_event_s * 1000),
             pause_ms=round(times.longest_event_gap_s * 1000),
             pause_after_ms=round(times.longest_event_gap_end_s * 1000),
@@ -361,6 +372,11 @@
         return undelivered
 
     async def _give_up(self) -> None:
+        """End the stream, or respond with an error if the caller has no event.
+
+        502 and 504 tell that the request may have run, also if an endpoint sent a
+        response that cannot be relayed.
+        """
         request, writer = self._request, self._writer
         expired = request.remaining_s <= 0
         if writer.started:
@@ -369,17 +385,17 @@
             refusal = RefusalReason.TIMEOUT if expired else RefusalReason.UNCERTAIN
         elif self._retries_exhausted:
             refusal = RefusalReason.RETRY_BUDGET
-        elif self._rejected or self._may_have_run:
+        elif self._had_unexecuted_attempt or self._may_have_run:
             refusal = RefusalReason.ENDPOINTS_FULL
         else:
             refusal = RefusalReason.DEADLINE if expired else RefusalReason.NO_PATH
         self._context.metrics.count_refusal(refusal)
         logger.warning(
             "stream given up",
-            request=decode_id(request.id),
+            request=decode_value(request.id),
             route=request.route.name,
             reason=refusal.value,
-            after=decode_id(self._last_id or b""),
+            after=decode_value(self._last_id or b""),
             tries=self._attempts_sent,
         )
         if writer.started:
@@ -392,7 +408,9 @@
             )
             return
         retry_after_s = (
-            RETRY_AFTER_FULL_S if self._rejected else RETRY_AFTER_NO_ENDPOINT_S
+            RETRY_AFTER_FULL_S
+            if self._had_unexecuted_attempt
+            else RETRY_AFTER_NO_ENDPOINT_S
         )
         await writer.local_reply(503, "no path can take the request", retry_after_s)
 
--- a/packages/router/src/hemlockhall_router/request/timeouts.py
+++ b/packages/router/src/hemlockhall_router/request/timeouts.py
@@ -13,15 +13,15 @@
 # rest is time enough for the probe and for the prefill on another path.
 FIRST_EVENT_SILENCE_FRACTION = 0.3
 EVENT_GAP_SILENCE_FRACTION = 0.25
-# Multiples of the same limits after which a stream moves although all of its
-# endpoints answer probes. Moving sooner would repeat the prefill elsewhere, and
-# the added load would make all endpoints slower.
+# Multiples of the same two durations after which a stream leaves its path although
+# all of its endpoints answer probes. Leaving sooner would repeat the prefill on
+# another path, and the added load would make all endpoints slower.
 FIRST_EVENT_TIMEOUT_FACTOR = 5.0
 EVENT_GAP_TIMEOUT_FACTOR = 5.0
 # Factor on the timeouts after each silence or lost connection.
 TIMEOUT_BACKOFF_FACTOR = 2.0
 # Latency objective and maximum event gap of a route that states none.
-DEFAULT_LIMIT_S = 2.0
+DEFAULT_OBJECTIVE_S = 2.0
 
 
 class StreamTimeouts:
@@ -34,13 +34,15 @@
     def __init__(self, request: RoutedRequest) -> None:
         self._request = request
         self._backoff = 1.0
-        self.latency_objective_s = request.route.latency_objective_s or DEFAULT_LIMIT_S
-        self.max_event_gap_s = request.route.max_event_gap_s or DEFAULT_LIMIT_S
+        self.latency_objective_s = (
+            request.route.latency_objective_s or DEFAULT_OBJECTIVE_S
+        )
+        self.max_event_gap_s = request.route.max_event_gap_s or DEFAULT_OBJECTIVE_S
 
     def back_off(self) -> None:
-        """Lengthen the timeouts.
+        """Lengthen the timeouts after a silence or a lost connection.
 
-        If silence recurs, either it was no failure, or it has hit two paths.
+        If silence recurs, either it is no failure, or two paths have failed.
         """
         self._backoff *= TIMEOUT_BACKOFF_FACTOR
 
--- a/packages/router/src/hemlockhall_router/version/routing.py
+++ b/packages/router/src/hemlockhall_router/version/routing.py
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Route:
-    """Targets and limits for requests with a host and a path prefix.
+    """Targets and limits for requests with a host name and a path prefix.
 
     ``timeout_s`` limits the whole request. ``latency_objective_s`` is the objective
     for the first event, ``max_event_gap_s`` the longest gap between two events of a
@@ -146,7 +146,7 @@
 class RoutingConfig:
     """One version of the configuration.
 
-    ``routes`` is keyed by host, then by path prefix; ``customers`` by API key.
+    ``routes`` is keyed by host name, then by path prefix; ``customers`` by API key.
     ``limits`` bound what callers may send. With ``keys_required``, requests need a
     known API key, except on public routes.
     """
@@ -159,13 +159,14 @@
     keys_required: bool = False
 
     def add(self, route: Route) -> None:
-        """Add a route, replacing one with the same host and prefix."""
+        """Add a route, replacing one with the same host name and prefix."""
         self.routes.setdefault(route.host, {})[route.prefix] = route
 
     def match(self, head: RequestHead) -> Route | None:
-        """Return the route with the longest matching prefix for the request's host.
+        """Return the route with the longest prefix that matches the request.
 
-        A host with a port matches a route without one. Prefixes end in a slash.
+        The host name is that of the Host header; one with a port matches a route
+        without one. Prefixes end in a slash.
         """
         name = (head.header(b"host") or b"").strip().lower()
         routes = self.routes.get(name) or self.routes.get(name.partition(b":")[0])
--- a/tests/router/test_plain.py
+++ b/tests/router/test_plain.py
@@ -248,7 +248,7 @@
 
 
 class TestCallerDisconnects:
-    async def test_endpoint_connection_is_closed_when_the_caller_leaves(self) -> None:
+    async def test_endpoint_connection_is_closed_on_disconnect(self) -> None:
         started = anyio.Event()
 
         async def wait_for_disconnect(request: ReceivedRequest) -> None:
--- a/tests/router/test_stream.py
+++ b/tests/router/test_stream.py
@@ -138,8 +138,8 @@
 
 class TestRefusals:
     async def test_request_without_memory_is_refused_before_its_deadline(self) -> None:
-        """A request that all endpoints refuse for lack of memory was retried every
-        0.5 s until its deadline, when its caller had left."""
+        """Guards against retries every 0.5 s until the deadline of a request that all
+        endpoints refuse for lack of memory: its caller has left by then."""
 
         async def refuse(request: ReceivedRequest) -> None:
             port = request.endpoint.port
@@ -254,6 +254,7 @@
             await anyio.sleep(0.02)
             await request.reset()
 
+        # The model has no such accelerator, so the planner sends no orders.
         unplanned = {**ALL_LAYERS, "accelerator": "unplanned"}
         async with router_harness(ROUTES) as harness:
             directory = harness.routers[0].directory
@@ -303,6 +304,7 @@
             await request.reset()
 
         routes = [RouteRow("/draft/", "stream", "pool", resumable=True, pause_s=60.0)]
+        # The model has no such accelerator, so the planner sends no orders.
         unplanned = {**ALL_LAYERS, "accelerator": "unplanned"}
         async with router_harness(routes) as harness:
             directory = harness.routers[0].directory
@@ -333,7 +335,8 @@
 
     async def test_stream_limited_to_one_endpoint_survives_a_refusal(self) -> None:
         """The only allowed endpoint resets the stream, refuses the first retry for
-        lack of memory and accepts the second; the stream was given up instead."""
+        lack of memory and accepts the second. Guards against giving up after the
+        first."""
 
         async def reset_midway(request: ReceivedRequest) -> None:
             await request.begin()
@@ -409,8 +412,8 @@
 
 class TestMoving:
     async def test_stream_is_not_moved_without_retry_budget(self) -> None:
-        """A draining endpoint still serves a stream while the retry budget is
-        exhausted. Moving it broke it off, as it could be sent nowhere else."""
+        """Guards against a stream that is cut because it leaves a draining endpoint,
+        which still serves it, while the retry budget allows no other attempt."""
         may_continue = anyio.Event()
 
         async def pause_then_finish(request: ReceivedRequest) -> None:
@@ -448,8 +451,8 @@
             assert bodies == [ALL_EVENTS]
 
     async def test_stream_is_not_moved_at_its_endpoint_limit(self) -> None:
-        """The route allows one endpoint, which drains. Moving the stream broke it
-        off, as only that endpoint was allowed and it takes no new requests."""
+        """Guards against a stream that is cut because it leaves a draining endpoint:
+        the route allows only that one, and it takes no new requests."""
         may_continue = anyio.Event()
 
         async def pause_then_finish(request: ReceivedRequest) -> None:
@@ -492,7 +495,8 @@
 
     async def test_broken_stream_waits_for_a_path(self) -> None:
         """A stream breaks after longer without a path than new requests wait; one
-        returns soon after. Giving the stream up at once lost the caller's events."""
+        returns soon after. Guards against giving the stream up at once, which would
+        lose the caller's events."""
         may_reset = anyio.Event()
         route = RouteRow("/draft/", "stream", "pool", resumable=True, pause_s=60.0)
         async with router_harness([route]) as harness:
@@ -516,7 +520,7 @@
             assert bodies == [ALL_EVENTS]
 
     async def test_started_stream_is_not_given_up_without_a_path(self) -> None:
-        """A stream was closed when its layers were unavailable for seconds."""
+        """Guards against closing a stream whose layers are unavailable for seconds."""
         may_reset = anyio.Event()
         route = RouteRow("/draft/", "stream", "pool", resumable=True, pause_s=60.0)
         async with router_harness([route]) as harness:
@@ -546,8 +550,8 @@
 
 class TestMovingWhileServed:
     async def test_stream_stays_on_draining_endpoint_if_next_refuses(self) -> None:
-        """The other endpoint has no memory left. Leaving the draining endpoint
-        first lost streams that it still served and no other accepted."""
+        """Guards against a stream that is lost because it leaves the draining endpoint
+        before another accepts it; the other has no memory left."""
         may_continue = anyio.Event()
 
         async def pause_then_finish(request: ReceivedRequest) -> None:
@@ -596,8 +600,8 @@
         assert bodies == [ALL_EVENTS]
 
     async def test_slow_stream_stays_if_the_next_endpoint_refuses(self) -> None:
-        """An endpoint pauses past the timeout and the other has no memory left. The
-        stream was cut, though the slow endpoint soon had the next event."""
+        """An endpoint pauses past the timeout and the other has no memory left. Guards
+        against cutting the stream though the slow endpoint soon has the next event."""
         refused = anyio.Event()
 
         async def pause_then_finish(request: ReceivedRequest) -> None:
@@ -616,6 +620,7 @@
                 refused.set()
 
         route = RouteRow("/draft/", "stream", "pool", resumable=True, pause_s=0.05)
+        # The model has no such accelerator, so the planner sends no orders.
         unplanned = {**ALL_LAYERS, "accelerator": "unplanned"}
         async with router_harness([route]) as harness:
             first = await harness.start_endpoint("p1", pause_then_finish, **unplanned)
@@ -635,8 +640,9 @@
             assert len(first.received) == 1
 
     async def test_broken_stream_waits_for_the_retry_budget(self) -> None:
-        """A stream breaks while the retry budget is exhausted for a moment. Giving it
-        up lost the caller's events, and callers then send the request again."""
+        """A stream breaks while the retry budget is exhausted for a moment. Guards
+        against giving it up: the caller's events would be lost, and callers then send
+        the request again."""
         may_reset = anyio.Event()
         route = RouteRow("/draft/", "stream", "pool", resumable=True, pause_s=60.0)
         async with router_harness([route]) as harness:
