--- a/packages/router/src/hemlockhall_router/connection/caller.py
+++ b/packages/router/src/hemlockhall_router/connection/caller.py
@@ -1,4 +1,4 @@
-"""Parser of callers' requests on one connection."""
+"""Reads callers' requests and sends the responses, on one connection."""
 
 from __future__ import annotations
 
@@ -31,8 +31,10 @@
 class CallerLimits:
     """Limits on the size and duration of requests.
 
-    A head must be complete ``header_s`` after its first byte; a connection without a
-    request is closed after ``idle_s``.
+    ``header_bytes`` limits the whole head and ``body_bytes`` the body. A head must be
+    complete ``header_s`` after its first byte; one that began to arrive before the
+    previous request was answered has ``idle_s`` instead. A connection without a request
+    is closed after ``idle_s``.
     """
 
     header_bytes: int = 16_384
@@ -87,7 +89,7 @@
 
 
 def check_framing(head: RequestHead) -> None:
-    """Raise ``CallerError`` if the framing of a request is ambiguous.
+    """Raise ``CallerError`` if a request's framing or host is ambiguous.
 
     If this host and an endpoint disagree on where a request ends, a caller can
     smuggle a second request in the body of the first, past the check of its API key.
@@ -100,20 +102,25 @@
             lengths += 1
         elif name == b"transfer-encoding":
             if chunked or value.strip().lower() != b"chunked":
-                raise CallerError(400, "only the transfer coding chunked is read")
+                raise CallerError(
+                    400, "the only supported Transfer-Encoding is chunked, given once"
+                )
             chunked = True
         elif name == b"host":
             hosts += 1
         if key.strip() != key or not key:
-            raise CallerError(400, "a header name has spaces; remove them")
+            raise CallerError(400, "a header name is empty or has spaces around it")
     if lengths > 1 or (lengths and chunked):
-        raise CallerError(400, "the length is given twice; send one of them")
+        raise CallerError(400, "send either one Content-Length or Transfer-Encoding")
     if hosts > 1:
         raise CallerError(400, "more than one Host header; send one")
 
 
 class CallerReader:
-    """Reads requests and detects that the caller disconnects.
+    """Reads requests, sends responses and detects that the caller disconnects.
+
+    ``close_after_response`` is true if the connection must be closed after the current
+    response.
 
     Parameters
     ----------
@@ -130,7 +137,7 @@
         self._pipelined: list[bytes] = []
         self._head_bytes = 0
         self._parse_error: CallerError | None = None
-        self.close_after = False
+        self.close_after_response = False
 
     async def read_head(self) -> RequestHead | None:
         """Return the head of the next request, or None if the connection ended.
@@ -193,15 +200,18 @@
                 raise CallerError(408, "the body took too long") from None
 
     def finish_request(self) -> None:
-        """Drop the answered request and parse pipelined bytes if none is left."""
+        """Drop the answered request; parse pipelined bytes if no other is buffered."""
         request = self._collector.requests.popleft()
         if not request.complete:
-            self.close_after = True
+            self.close_after_response = True
         while self._pipelined and not self._collector.requests:
             self._feed(self._pipelined.pop(0))
 
     async def wait_disconnect(self) -> None:
-        """Return when the caller has disconnected; buffer pipelined bytes."""
+        """Return when the caller has disconnected; buffer pipelined bytes.
+
+        Once ``MAX_PIPELINED_BYTES`` are buffered, it does not return.
+        """
         size = 0
         while size < MAX_PIPELINED_BYTES:
             try:
@@ -221,7 +231,7 @@
             raise CallerDisconnectedError from exc
 
     async def send_error(self, exc: CallerError) -> None:
-        """Answer an invalid request with its error and end the connection."""
+        """Send the response to an unreadable request and end the connection."""
         body = exc.text.encode() + b"\n"
         headers = [
             (b"Content-Type", b"text/plain; charset=utf-8"),
@@ -235,7 +245,10 @@
             return
 
     async def lingering_close(self) -> None:
-        """Close the sending side, and read on for up to ``LINGERING_CLOSE_S``."""
+        """Close the sending side, and read on for up to ``LINGERING_CLOSE_S``.
+
+        Otherwise a reset could overtake the response.
+        """
         deadline = time.monotonic() + LINGERING_CLOSE_S
         try:
             await self._stream.send_eof()
@@ -262,7 +275,7 @@
         except httptools.HttpParserUpgrade:
             # The request is served without the upgrade. The bytes that follow are
             # ambiguous, so the connection is closed afterwards.
-            self.close_after = True
+            self.close_after_response = True
             if self._collector.requests:
                 self._collector.requests[-1].complete = True
         except httptools.HttpParserError:
--- a/packages/router/src/hemlockhall_router/connection/client.py
+++ b/packages/router/src/hemlockhall_router/connection/client.py
@@ -27,7 +27,7 @@
 
 # Most responses of services without streaming fit in one read.
 READ_BYTES = 65_536
-# Responses without streaming are buffered whole; the limit keeps an endpoint from
+# Responses without streaming are buffered whole; the limit keeps a server from
 # exhausting the memory of this host.
 MAX_BODY_BYTES = 16 * 1024 * 1024
 NO_BODY_STATUSES = frozenset((204, 304))
@@ -85,8 +85,9 @@
 class ClientConnection:
     """An open connection to an endpoint or to the store.
 
-    ``reusable`` is true between two requests unless the last response, or bytes
-    received after it, make the next one ambiguous. Deadlines are monotonic times.
+    ``reusable`` is true between two requests, unless the server closes the connection
+    or the next response could not be told apart from the last one. It is not used after
+    ``idle_deadline``, which its pool sets. Deadlines are monotonic times.
     """
 
     def __init__(self, stream: SocketStream) -> None:
@@ -112,7 +113,7 @@
             raise NotSentError(f"{host}:{port}: connection failed: {exc}") from exc
         return cls(stream)
 
-    async def send(self, text: bytes, deadline: float) -> None:
+    async def send(self, data: bytes, deadline: float) -> None:
         """Send a whole request.
 
         Raises
@@ -124,7 +125,7 @@
         self.reusable = False
         try:
             with anyio.fail_after(max(0.0, deadline - time.monotonic())):
-                await self._stream.send(text)
+                await self._stream.send(data)
         except TimeoutError as exc:
             raise ConnectionLostError("timed out while sending the request") from exc
         except (anyio.BrokenResourceError, anyio.ClosedResourceError, OSError) as exc:
@@ -133,7 +134,18 @@
     async def read_head(
         self, deadline: float, *, no_body: bool = False
     ) -> ResponseHead:
-        """Return the head of the next final response, skipping interim ones (1xx)."""
+        """Return the head of the next final response, skipping interim ones (1xx).
+
+        ``no_body`` is true if the request was HEAD, so that no body follows.
+
+        Raises
+        ------
+        ConnectionLostError
+            If the connection failed; its subclass ``ReadTimeoutError`` if nothing was
+            received before ``deadline``.
+        ProtocolError
+            If the server did not send a valid HTTP response.
+        """
         self.reusable = False
         responses = self._collector.responses
         while True:
@@ -159,6 +171,8 @@
         ConnectionLostError
             If the connection failed; its subclass ``ReadTimeoutError`` if nothing was
             received before ``deadline``.
+        ProtocolError
+            If the server did not send a valid HTTP response.
         """
         response = self._current
         while response is not None:
@@ -228,7 +242,7 @@
         try:
             self._collector.parser.feed_data(data)
         except httptools.HttpParserUpgrade as exc:
-            raise ProtocolError("the endpoint switched protocols") from exc
+            raise ProtocolError("the server switched protocols") from exc
         except httptools.HttpParserError as exc:
             # The bytes before the invalid ones may be a complete response.
             self._parse_failed = True
@@ -244,7 +258,7 @@
     def is_usable(self) -> bool:
         """Return whether another request may be sent.
 
-        False if the idle time is over, if the endpoint closed the connection, or if
+        False if the idle time is over, if the server closed the connection, or if
         bytes arrived after the last response, which would be taken for the next one.
         """
         if not self.reusable or time.monotonic() > self.idle_deadline:
@@ -255,7 +269,7 @@
         return not poll.poll(0)
 
     async def close(self) -> None:
-        """Close the connection; the endpoint then stops work on an open request."""
+        """Close the connection; the server then stops work on an open request."""
         if self._closed:
             return
         self._closed = True
@@ -265,7 +279,7 @@
 
 
 class _EndOfStreamError(Exception):
-    """The endpoint closed the connection after the head, without a reset."""
+    """The server closed the connection without a reset, after a head was read."""
 
 
 __all__ = [
--- a/packages/router/src/hemlockhall_router/connection/error.py
+++ b/packages/router/src/hemlockhall_router/connection/error.py
@@ -1,4 +1,4 @@
-"""Exceptions of connections to endpoints, the store and callers."""
+"""Exceptions of connections to callers, endpoints, the store and other hosts."""
 
 from __future__ import annotations
 
@@ -27,7 +27,10 @@
 
 
 class CallerError(Exception):
-    """A caller sent an invalid request; it is answered with ``status``."""
+    """A caller's request is invalid, too large or too slow.
+
+    The response has the status code ``status`` and the body ``text``.
+    """
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
--- a/packages/router/src/hemlockhall_router/connection/link.py
+++ b/packages/router/src/hemlockhall_router/connection/link.py
@@ -21,7 +21,8 @@
 # Larger than any table that is transferred; bounds a message both compressed and
 # decompressed.
 MAX_MESSAGE_BYTES = 16 * 1024 * 1024
-# Configurations compress to a tenth; hosts may have links of 10 Mbit/s.
+# zlib's fastest level. Configurations compress to a tenth; the network connection of
+# a host may have 10 Mbit/s.
 COMPRESSION_LEVEL = 1
 
 
@@ -30,7 +31,7 @@
 
 
 class TableRow(msgspec.Struct, frozen=True, array_like=True):
-    """A row of a table, sent by position of its fields."""
+    """A store row as sent between hosts: an array of its fields, without names."""
 
     key: str
     value: bytes
@@ -46,7 +47,10 @@
 
 
 class Delta(msgspec.Struct, frozen=True, tag="delta"):
-    """Rows that the receiver lacks; ``whole`` if these are all rows of the table."""
+    """Rows that the receiver lacks; ``whole`` if these are all rows of the table.
+
+    ``version`` is that of the sender's cached table.
+    """
 
     table: str
     version: int
@@ -84,7 +88,7 @@
             with anyio.fail_after(max(0.0, deadline - time.monotonic())):
                 await self._stream.send(data)
         except (OSError, anyio.BrokenResourceError, anyio.ClosedResourceError) as exc:
-            raise LinkError(f"not sent: {exc!r}") from exc
+            raise LinkError(f"sending the message failed: {exc!r}") from exc
 
     async def receive(self, deadline: float) -> Message:
         """Return the next message, or raise ``LinkError``."""
@@ -111,13 +115,16 @@
                 anyio.BrokenResourceError,
                 anyio.ClosedResourceError,
             ) as exc:
-                raise LinkError(f"not received: {exc!r}") from exc
+                raise LinkError(f"receiving a message failed: {exc!r}") from exc
         taken = bytes(self._buffer[:count])
         del self._buffer[:count]
         return taken
 
     async def wait_closed(self, deadline: float) -> None:
-        """Return when the other side has closed, or at ``deadline``."""
+        """Return when the other side has closed or sent bytes, or at ``deadline``.
+
+        Received bytes are dropped.
+        """
         try:
             with anyio.move_on_after(max(0.0, deadline - time.monotonic())):
                 await self._stream.receive()
--- a/packages/router/src/hemlockhall_router/connection/message.py
+++ b/packages/router/src/hemlockhall_router/connection/message.py
@@ -6,7 +6,8 @@
 
 Headers = list[tuple[bytes, bytes]]
 
-# Not forwarded by proxies (RFC 9110, section 7.6.1).
+# Not forwarded: those of RFC 9110, section 7.6.1, and others that concern only one
+# connection.
 HOP_BY_HOP_HEADERS = frozenset(
     (
         b"connection",
@@ -68,7 +69,7 @@
 
     @property
     def path(self) -> bytes:
-        """The target without its query string."""
+        """The URL path: the target without its query string."""
         return self.target.partition(b"?")[0]
 
     def header(self, name: bytes) -> bytes | None:
@@ -78,7 +79,7 @@
 
 @dataclass(slots=True)
 class ResponseHead:
-    """The head of an endpoint's response."""
+    """The head of a server's response."""
 
     status: int
     reason: bytes
--- a/packages/router/src/hemlockhall_router/connection/pool.py
+++ b/packages/router/src/hemlockhall_router/connection/pool.py
@@ -12,7 +12,8 @@
 
 Address = tuple[str, int]
 
-# Used if the endpoint states no idle timeout; below the 5 s common to HTTP servers.
+# Longest time that a connection stays idle, also if the endpoint states none or a
+# longer one; below the 5 s common to HTTP servers.
 IDLE_TIMEOUT_S = 4.0
 # Fraction of the endpoint's stated idle timeout: the rest covers the delay until its
 # close arrives here.
@@ -47,7 +48,10 @@
     async def release(
         self, address: Address, conn: ClientConnection, head: ResponseHead
     ) -> None:
-        """Return a connection to the pool after a complete response, or close it."""
+        """Return a connection to the pool after a complete response, or close it.
+
+        The response's head may state the endpoint's idle timeout (``Keep-Alive``).
+        """
         idle = self._idle.setdefault(address, [])
         if not conn.reusable or len(idle) >= MAX_IDLE_PER_ENDPOINT:
             await conn.close()
--- a/packages/router/src/hemlockhall_router/process/addresses.py
+++ b/packages/router/src/hemlockhall_router/process/addresses.py
@@ -16,7 +16,7 @@
     """
 
     def __init__(self) -> None:
-        self._owners: dict[tuple[str, int], EndpointRecord] = {}
+        self._current: dict[tuple[str, int], EndpointRecord] = {}
 
     def claim(self, record: EndpointRecord) -> EndpointRecord | None:
         """Register an endpoint at its address.
@@ -28,20 +28,20 @@
             be ``record`` itself if its entry arrived late.
         """
         address = record.endpoint.address
-        other = self._owners.get(address)
+        other = self._current.get(address)
         if other is None or other is record or other.endpoint.address != address:
-            self._owners[address] = record
+            self._current[address] = record
             return None
         if 0 < record.endpoint.started_ms < other.endpoint.started_ms:
             return record
-        self._owners[address] = record
+        self._current[address] = record
         return other
 
     def release(self, record: EndpointRecord) -> None:
         """Remove an endpoint from its address, if it is still registered there."""
         address = record.endpoint.address
-        if self._owners.get(address) is record:
-            del self._owners[address]
+        if self._current.get(address) is record:
+            del self._current[address]
 
 
 __all__ = [
--- a/packages/router/src/hemlockhall_router/process/budget.py
+++ b/packages/router/src/hemlockhall_router/process/budget.py
@@ -16,8 +16,8 @@
 SAFETY_FACTOR = 0.7
 # Number of buckets in the sliding window.
 BUCKETS = 40
-# Fraction of its share that a host may always spend. The rest is a pool for hosts that
-# need more.
+# Fraction of its share that a host may always spend. The rest may be borrowed by hosts
+# that need more.
 RESERVED_FRACTION = 0.5
 # Time after which all hosts know what a host spent.
 USAGE_LAG_S = 1.5
@@ -32,12 +32,12 @@
 
 
 class RetryBudget:
-    """This host's part of the retry budget, for each service.
+    """This host's share of the retry budget, for each service.
 
     In each window all hosts together may send ``ratio`` retries for each request, and
     ``constant`` more. A host's share of ``constant`` is proportional to its share of
     the requests. ``RESERVED_FRACTION`` of a host's share is reserved for it; the rest
-    is a pool from which hosts borrow in proportion to their shares. Other hosts may not
+    may be borrowed by all hosts, in proportion to their shares. Other hosts may not
     know yet what was borrowed within the last ``USAGE_LAG_S`` seconds, so all of it
     together stays within what is known to remain.
 
@@ -55,7 +55,7 @@
         Length of the window in seconds.
     max_hosts : callable
         Returns the largest number of hosts that may exist.
-    cluster_usage : callable
+    usage_of_all_hosts : callable
         Returns the number of live hosts, with this one, and the sum of their
         ``usage`` for each service.
     clock : callable
@@ -68,14 +68,14 @@
         constant: float,
         window_s: float,
         max_hosts: Callable[[], int],
-        cluster_usage: Callable[[], tuple[int, list[RetryUsage]]],
+        usage_of_all_hosts: Callable[[], tuple[int, list[RetryUsage]]],
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self.ratio = ratio
         self.constant = constant
         self.window_s = window_s
         self._max_hosts = max_hosts
-        self._cluster_usage = cluster_usage
+        self._usage_of_all_hosts = usage_of_all_hosts
         self._clock = clock
         self._startup_deadline = clock() + window_s
         self._services: dict[str, _Counts] = {}
@@ -96,7 +96,10 @@
         return True
 
     def usage(self) -> list[RetryUsage]:
-        """Return the usage that this host reports to the others."""
+        """Return the usage that this host reports to the others, for each service.
+
+        ``retries`` is the number spent in the window, or reserved if that is more.
+        """
         found = []
         for service in self._services:
             counts = self._counts(service)
@@ -148,7 +151,7 @@
 
     def _usage_of_all(self, service: str) -> tuple[int, RetryUsage]:
         """Return the number of live hosts and the sum of their usage."""
-        live_hosts, usages = self._cluster_usage()
+        live_hosts, usages = self._usage_of_all_hosts()
         key = service_key(service)
         for usage in usages:
             if usage.service == key:
--- a/packages/router/src/hemlockhall_router/process/chooser.py
+++ b/packages/router/src/hemlockhall_router/process/chooser.py
@@ -48,7 +48,7 @@
     ----------
     directory : Directory
         The known endpoints.
-    home : str
+    local_data_centre : str
         Data centre of this host.
     data_centre_links : DataCentreLinks
         Backlog of the links between data centres.
@@ -59,14 +59,14 @@
     def __init__(
         self,
         directory: Directory,
-        home: str,
+        local_data_centre: str,
         data_centre_links: DataCentreLinks,
         host_count: Callable[[], int],
     ) -> None:
         self._directory = directory
         self._host_count = host_count
         self._data_centre_links = data_centre_links
-        self._home = home
+        self._local_data_centre = local_data_centre
         self._path_found_at: dict[str, float] = {}
         self._no_path_deadlines: dict[str, float] = {}
         self._started_at = time.monotonic()
@@ -74,7 +74,7 @@
     def choose_endpoint(
         self, service: str, excluded: set[str]
     ) -> EndpointRecord | None:
-        """Return the endpoint with the least expected wait, or None."""
+        """Return the usable endpoint with the least expected wait, or None."""
         best: EndpointRecord | None = None
         least = float("inf")
         for record in self._directory.usable(service):
@@ -96,7 +96,10 @@
         first_endpoint_ids: frozenset[str] | None = None,
         tokens: int = 0,
     ) -> Path | None:
-        """Return the cheapest path for a generation, or None if there is none.
+        """Return the cheapest path for a generating request, or None.
+
+        It is None if there is no path, or if a search over all endpoints found none
+        within the last ``NO_PATH_BACKOFF_S``.
 
         Parameters
         ----------
@@ -122,8 +125,11 @@
             self._no_path_deadlines[service.name] = now + NO_PATH_BACKOFF_S
         return path
 
-    def seconds_without_path(self, service: str) -> float:
-        """Return the seconds since a path was last found, or since the start."""
+    def seconds_since_path_found(self, service: str) -> float:
+        """Return the seconds since a path of a service was last found.
+
+        They count from the start of this host if none was found yet.
+        """
         return time.monotonic() - self._path_found_at.get(service, self._started_at)
 
     def _find(
@@ -135,15 +141,17 @@
         first_endpoint_ids: frozenset[str] | None,
     ) -> Path | None:
         index = self._directory.replica_index
-        sample = index.sample(service.name, model, self._home, first_endpoint_ids)
+        sample = index.sample(
+            service.name, model, self._local_data_centre, first_endpoint_ids
+        )
         path = self._search(
             service, model, sample, excluded, tokens, first_endpoint_ids
         )
-        endpoints = index.endpoints(service.name)
-        if path is not None or len(sample) == len(endpoints):
+        records = index.records(service.name)
+        if path is not None or len(sample) == len(records):
             return path
         return self._search(
-            service, model, endpoints, excluded, tokens, first_endpoint_ids
+            service, model, records, excluded, tokens, first_endpoint_ids
         )
 
     def _search(
@@ -174,14 +182,14 @@
         return find_path(
             model,
             endpoints,
-            self._home,
+            self._local_data_centre,
             lambda endpoint: costs[endpoint.id],
-            lambda here, there: link_ms + self._queueing_ms(here, there, burst_s),
+            lambda source, target: link_ms + self._queueing_ms(source, target, burst_s),
             first_endpoint_ids,
         )
 
-    def _queueing_ms(self, here: str, there: str, burst_s: float) -> float:
-        backlog_s = self._data_centre_links.backlog_s(here, there) + burst_s
+    def _queueing_ms(self, source: str, target: str, burst_s: float) -> float:
+        backlog_s = self._data_centre_links.backlog_s(source, target) + burst_s
         return PENALTY_MS * load_penalty(backlog_s / LINK_BACKLOG_LIMIT_S)
 
 
--- a/packages/router/src/hemlockhall_router/process/dialect.py
+++ b/packages/router/src/hemlockhall_router/process/dialect.py
@@ -1,4 +1,7 @@
-"""Interface to a platform: header names, formats and control API calls."""
+"""Interface to a platform: header names, formats and control API calls.
+
+A dialect is the adapter of the router to one platform.
+"""
 
 from __future__ import annotations
 
@@ -18,17 +21,27 @@
 
 
 class DecodeError(Exception):
-    """A row or report could not be decoded; the text names the field or row."""
+    """A row or report could not be decoded; the text names the field or
+    row, or the status of the response that should hold a report.
+    """
 
 
 @dataclass(slots=True, frozen=True)
 class HeaderNames:
     """Names of HTTP headers, in lower case.
 
-    ``request_id`` identifies a request and is echoed by endpoints.
-    ``not_executed`` marks responses to requests that were not executed.
-    ``signature`` marks a response as sent by an endpoint. ``failed_endpoint`` names
-    the endpoint on the path that refused or failed the request.
+    In requests, ``request_id`` identifies a request and is echoed by endpoints.
+    ``deadline_ms`` is the time that is left for the request, in milliseconds.
+    ``api_key`` is the caller's, and ``customer`` the name of the customer it belongs
+    to. ``expected_endpoint`` is the id of the endpoint that the request is sent to, and
+    ``path`` the encoded path. ``resume_after`` is the id of the last event that the
+    caller has. ``priority`` is removed from callers' requests and never sent.
+    ``endpoint_id`` is not used by the router.
+
+    In responses, ``not_executed`` marks those to requests that were not executed.
+    ``signature`` only marks a response as sent by an endpoint, and is not verified.
+    ``failed_endpoint`` names the endpoint on the path that refused or failed the
+    request.
     """
 
     request_id: bytes
@@ -64,14 +77,17 @@
 
 
 class Dialect(ABC):
-    """Names and formats of one platform; holds no routing logic."""
+    """Names and formats of one platform; holds no routing logic.
+
+    ``ready_path`` is the URL path of this host's readiness check.
+    """
 
     headers: HeaderNames
     ready_path: bytes
 
     @abstractmethod
     def open_store(self, address: str) -> Store:
-        """Return a client of the store at ``address``, an IP number and a port."""
+        """Return a client of the store at ``address``, an IP address and a port."""
 
     @abstractmethod
     def decode_routing(self, key: str, value: bytes) -> RoutingConfig | None:
@@ -80,12 +96,12 @@
         Raises
         ------
         DecodeError
-            If the row is invalid.
+            If the row is invalid. The configuration in force then stays.
         """
 
     @abstractmethod
     def decode_endpoint(self, key: str, value: bytes) -> Endpoint | None:
-        """Decode a row of the endpoint table; None if the row is invalid."""
+        """Decode a row of the endpoint table; None, to ignore it, if it is invalid."""
 
     @abstractmethod
     def decode_token_counts(self, head: RequestHead) -> TokenCounts | None:
@@ -109,14 +125,15 @@
     ) -> EndpointCall:
         """Return the order that assigns layers to an endpoint.
 
-        The endpoint rejects it unless it has begun ``order_count`` orders so far.
-        Requests that run on layers which it no longer has finish first, unless
+        ``fence`` is the fencing token of the planning lease, or 0 without the lease.
+        The endpoint refuses the order unless it has begun ``order_count`` orders so
+        far. Requests that run on layers which it no longer has finish first, unless
         ``immediate`` is true.
         """
 
     @abstractmethod
     def reroute_call(self, request_id: bytes, path: Path) -> EndpointCall:
-        """Return the order that moves a running request to another path."""
+        """Return the call that moves a running request to another path."""
 
 
 DIALECTS: dict[str, type[Dialect]] = {}
--- a/packages/router/src/hemlockhall_router/process/directory.py
+++ b/packages/router/src/hemlockhall_router/process/directory.py
@@ -44,8 +44,9 @@
 REFUSAL_WINDOW_S = 1.0
 # Fraction of an endpoint's memory in use below which it has room for any request.
 LOW_MEMORY_FRACTION = 0.25
-# Time after a start or a change of layers in which a refusal does not count as
-# draining, as the endpoint then refuses for other reasons.
+# Time in which a refusal does not count as draining, as the endpoint then refuses for
+# other reasons: after it was added, changed its layers, or restarted according to its
+# store entry. A restart that a report shows first does not begin this time.
 WARMUP_S = 2.0
 # Time for which an endpoint is presumed to be draining, at the host that detected it
 # and at those that it tells. The latter keep it out as long as the former repeats it.
@@ -53,7 +54,8 @@
 REMOTE_PRESUMED_DRAINING_S = 1.0
 # Time for which an incarnation without an entry may still run: as long as any stream
 # lasts.
-ORPHAN_S = 30.0
+REMOVED_RUNNING_S = 30.0
+# Load of an endpoint of which no other host reports any.
 NO_LOAD = Load(0, 0, 0, 0, MAX_EVENT_AGE_MS)
 # Latency assumed of an endpoint that has not responded yet.
 INITIAL_LATENCY_S = 0.1
@@ -65,7 +67,13 @@
 
     Times are monotonic. ``in_flight`` and ``tokens`` count this host's requests and
     their tokens, ``prefill_tokens`` the tokens of requests that have no event yet. The
-    fields ``remote_...`` are the same for all other hosts.
+    fields ``remote_...`` count those of all other hosts.
+
+    ``failures`` counts consecutive failures, and ``backoff_deadline`` is the time until
+    which they or a lack of room keep the endpoint from new requests. ``latency_s`` is
+    its average time to the first byte. ``slowdown`` is the factor on the usual time of
+    a token, 1.0 = normal. ``down`` last changed at ``down_changed_at``. The next group
+    of streams is moved off the endpoint at ``next_move_deadline``.
 
     ``key`` is the endpoint's number in messages between hosts. ``entry_grace_deadline``
     is set while the store has no entry of the endpoint, which may come back until
@@ -88,7 +96,7 @@
     entry_grace_deadline: float | None = None
     latency_s: float = INITIAL_LATENCY_S
     down: bool = False
-    down_at: float = 0.0
+    down_changed_at: float = 0.0
     probed_at: float = 0.0
     slowdown: float = 1.0
     next_move_deadline: float | None = None
@@ -126,7 +134,10 @@
         return self.tokens + self.remote_tokens
 
     def reset(self) -> None:
-        """Discard the observations of an earlier incarnation."""
+        """Clear the health state that an earlier incarnation left.
+
+        The average latency and the times of the last refusal and events stay.
+        """
         self.failures = 0
         self.backoff_deadline = 0.0
         self.down = False
@@ -150,8 +161,12 @@
 class Directory:
     """The known endpoints by id.
 
-    ``version`` grows with each change of the endpoints or their health, ``generation``
-    with each change of the set of incarnations.
+    ``version`` grows when rows or layer updates are applied, a lapsed endpoint is
+    removed, a backoff begins, an endpoint goes down or up, a report shows a restart or
+    changes the layers, order count or slowdown, and when this host presumes an endpoint
+    to be draining. It does not grow when a backoff ends or another host presumes an
+    endpoint to be draining. ``generation`` grows when an endpoint is added, removed, or
+    has a new start or address according to its store entry.
 
     Parameters
     ----------
@@ -159,7 +174,7 @@
         Returns the endpoint in a row's key and value, or None if there is none.
     grace_deadline : callable
         Returns the monotonic time until which a missing entry may come back, or 0
-        if the store was reachable throughout.
+        if this host or another one had the store throughout.
     timing : Timing
         Delays after which the streams of a draining endpoint are moved.
     """
@@ -180,7 +195,7 @@
         self.replica_index = ReplicaIndex(self)
         self._removed_with_streams: list[EndpointRecord] = []
         self._addresses = AddressTable()
-        self._orphan_deadlines: dict[tuple[str, int], float] = {}
+        self._removed_running_deadlines: dict[tuple[str, int], float] = {}
 
     def apply_rows(self, rows: list[Row]) -> None:
         """Apply changed rows of the endpoint table."""
@@ -322,8 +337,8 @@
         self.generation += 1
         if not record.down and not record.replaced:
             # Some endpoints remove their entry and keep serving without one.
-            deadline = time.monotonic() + ORPHAN_S
-            self._orphan_deadlines[record.endpoint.incarnation] = deadline
+            deadline = time.monotonic() + REMOVED_RUNNING_S
+            self._removed_running_deadlines[record.endpoint.incarnation] = deadline
         if record.active_streams:
             record.next_move_deadline = (
                 record.next_move_deadline
@@ -333,15 +348,15 @@
         logger.info("endpoint gone", endpoint=endpoint_id, cause=cause)
 
     def process_deadlines(self) -> None:
-        """Remove lapsed endpoints and move streams off draining ones."""
+        """Remove lapsed endpoints; move streams off draining and removed ones."""
         now = time.monotonic()
         for endpoint_id in list(self.records):
             deadline = self.records[endpoint_id].entry_grace_deadline
             if deadline is None:
                 continue
-            # 0: another host reached the store throughout, so the entry is gone.
+            # 0: this host or another had the store throughout, so the entry is gone.
             if now >= deadline or self._grace_deadline() == 0.0:
-                self._remove(endpoint_id, "did not come back after the outage")
+                self._remove(endpoint_id, "entry not renewed after the outage")
                 self._bump_version()
         for record in (*self.records.values(), *self._removed_with_streams):
             if (
@@ -349,13 +364,13 @@
                 and now >= record.next_move_deadline
             ):
                 record.next_move_deadline = now + self._timing.move_interval_s
-                self._move_batch(record, "endpoint leaves", now)
+                self._move_batch(record, "endpoint draining or removed", now)
         self._removed_with_streams = [
             record for record in self._removed_with_streams if record.active_streams
         ]
-        for incarnation in list(self._orphan_deadlines):
-            if now >= self._orphan_deadlines[incarnation]:
-                del self._orphan_deadlines[incarnation]
+        for incarnation in list(self._removed_running_deadlines):
+            if now >= self._removed_running_deadlines[incarnation]:
+                del self._removed_running_deadlines[incarnation]
 
     def may_still_run(self, endpoint: Endpoint) -> bool:
         """Return whether this incarnation of an endpoint may still be running.
@@ -366,7 +381,7 @@
         record = self.records.get(endpoint.id)
         if record is not None and record.endpoint.incarnation == endpoint.incarnation:
             return not record.replaced
-        return endpoint.incarnation in self._orphan_deadlines
+        return endpoint.incarnation in self._removed_running_deadlines
 
     def _bump_version(self) -> None:
         self.version += 1
@@ -375,7 +390,7 @@
         """Return the endpoints of a service that may receive new requests."""
         now = time.monotonic()
         found = []
-        for record in self.replica_index.endpoints(service):
+        for record in self.replica_index.records(service):
             if record.usable(now):
                 found.append(record)
         return found
@@ -384,7 +399,7 @@
         """Return the endpoints of a service that are up and not draining."""
         now = time.monotonic()
         found = []
-        for record in self.replica_index.endpoints(service):
+        for record in self.replica_index.records(service):
             endpoint = record.endpoint
             if endpoint.draining:
                 continue
@@ -496,7 +511,7 @@
         if record is None or record.down == down:
             return
         record.down = down
-        record.down_at = time.monotonic()
+        record.down_changed_at = time.monotonic()
         logger.warning(
             "endpoint down" if down else "endpoint back",
             endpoint=endpoint_id,
@@ -507,7 +522,11 @@
             _move_streams(record, "endpoint down")
 
     def apply_report(self, endpoint_id: str, report: EndpointReport) -> None:
-        """Apply an endpoint's report unless the incarnation was replaced."""
+        """Apply an endpoint's report unless the incarnation was replaced.
+
+        Layers are not applied if the report is older than the known ones. The report
+        may also show that the endpoint restarted, or let it be presumed to be draining.
+        """
         record = self.records.get(endpoint_id)
         if record is None or record.replaced:
             return
@@ -548,7 +567,11 @@
         return record is not None and record.unhealthy
 
     def set_remote_loads(self, loads: dict[int, Load]) -> None:
-        """Set the load that the other hosts report, by endpoint key."""
+        """Set the load that the other hosts report, by endpoint key.
+
+        Endpoints from which other hosts have had events since they went down are marked
+        as up.
+        """
         now = time.monotonic()
         for record in self.records.values():
             load = loads.get(record.key, NO_LOAD)
@@ -557,8 +580,8 @@
             record.remote_prefill_tokens = load.prefill_tokens
             event_at = now - load.event_age_ms / 1000
             record.last_event_at = max(record.last_event_at, event_at)
-            if record.down and event_at > record.down_at + REMOTE_EVENT_DELAY_S:
-                # It serves other hosts, so only the route from this host failed.
+            if record.down and event_at > record.down_changed_at + REMOTE_EVENT_DELAY_S:
+                # It serves other hosts, so only the network path from this host failed.
                 self.set_down(record.endpoint.id, down=False)
 
     def _move_batch(self, record: EndpointRecord, cause: str, now: float) -> None:
--- a/packages/router/src/hemlockhall_router/process/frontend.py
+++ b/packages/router/src/hemlockhall_router/process/frontend.py
@@ -101,7 +101,7 @@
             return
         except Exception:  # noqa: BLE001
             # An error in one task would cancel the tasks of all connections.
-            logger.exception("connection failed")
+            logger.exception("internal error in a connection")
         finally:
             with anyio.CancelScope(shield=True):
                 await anyio.aclose_forcefully(stream)
@@ -135,7 +135,7 @@
         arrived_at = time.monotonic()
         deadline = arrived_at + self._requested_timeout_s(head)
         response = ResponseWriter(
-            reader, head, lambda: self.leaving or reader.close_after
+            reader, head, lambda: self.leaving or reader.close_after_response
         )
         try:
             body = await reader.read_body(deadline)
@@ -210,7 +210,9 @@
         route = routing.match(head)
         if route is None:
             raise _RefusedError(
-                RefusalReason.NO_ROUTE, 404, "no route has this host and path"
+                RefusalReason.NO_ROUTE,
+                404,
+                "no route matches this Host header and path",
             )
         customer = self._authenticate(routing, route, head)
         tokens = self._context.dialect.decode_token_counts(head)
@@ -218,7 +220,9 @@
         if now > self._accept_until and self._exit_at - now < _expected_duration_s(
             route, tokens
         ):
-            raise _RefusedError(RefusalReason.LEAVING, 503, "this host is about to end")
+            raise _RefusedError(
+                RefusalReason.LEAVING, 503, "this host is shutting down"
+            )
         name = _choose_service(route)
         service = routing.services.get(name) or Service(name, "/", 0)
         return RoutedRequest(
@@ -260,7 +264,7 @@
 
 
 def _expected_duration_s(route: Route, tokens: TokenCounts | None) -> float:
-    """Return the typical duration of a request."""
+    """Return the longest expected duration of a request."""
     if route.kind is not RouteKind.STREAM:
         return min(route.timeout_s, PLAIN_RESPONSE_S)
     return (
--- a/packages/router/src/hemlockhall_router/process/leadership.py
+++ b/packages/router/src/hemlockhall_router/process/leadership.py
@@ -11,11 +11,12 @@
     from hemlockhall_router.membership.hosts import Membership
     from hemlockhall_router.process.lease import Lease
 
-# Time between attempts to acquire or to renew the lease.
+# Time between attempts to acquire the lease.
 ACQUIRE_INTERVAL_S = 1.0
+# Time between attempts to renew it, from when its renewal is due.
 RENEW_RETRY_S = 0.2
 # Time without a response of the store, and without a holder of the lease, after which
-# one host plans without it: the time to live of the lease.
+# one host plans without the lease: the time to live of the lease.
 FALLBACK_AFTER_S = 3.0
 
 
@@ -24,7 +25,7 @@
 
     The holder of the lease plans. While the store is unreachable no host can acquire
     the lease. If the holder ends in such an outage, layers that are lost would leave a
-    coverage gap until the store is back, and their copy would serve no requests. The
+    coverage gap until the store is back, and their replica would serve no requests. The
     live host with the lowest name therefore plans without the lease, as a fallback. In
     a partition two such hosts could send contrary orders. That costs additional loads
     but is safe: an order names the number of orders before it, and the endpoint refuses
@@ -39,21 +40,26 @@
         self._leaving = False
 
     async def may_plan(self) -> bool:
-        """Return whether this host may send orders now; renews the lease if due."""
+        """Return whether this host may send orders now; renews the lease if due.
+
+        A holder that cannot renew the lease may send orders beyond its expiry, until it
+        learns of another version of the row or of a newer fencing token.
+        """
         lease, now = self._lease, time.monotonic()
-        peer_fence = self._membership.newest_fence()
-        if lease.fence and peer_fence > lease.fence:
-            lease.mark_lost("another host holds a newer one")
+        newest_fence = self._membership.newest_fence()
+        if lease.fence and newest_fence > lease.fence:
+            lease.mark_lost("another host holds a newer lease")
         if lease.fence:
             if lease.renewal_due and now >= self._next_attempt:
                 self._next_attempt = now + RENEW_RETRY_S
                 await lease.acquire_or_renew()
             return lease.fence > 0
-        if peer_fence or (self._leaving and self._membership.has_active_peer()):
+        if newest_fence or (self._leaving and self._membership.has_active_peer()):
             self._set_fallback(False)
             return False
         if not self._membership.is_hub:
-            # Only hubs try, as each attempt costs a call to the store.
+            # Each attempt costs a call to the store, so only hubs try: the few hosts
+            # that pass on what the others in their data centre report.
             self._set_fallback(False)
             return False
         if now >= self._next_attempt:
--- a/packages/router/src/hemlockhall_router/process/lease.py
+++ b/packages/router/src/hemlockhall_router/process/lease.py
@@ -19,7 +19,8 @@
     from hemlockhall_router.process.store import Row
 
 LEASE_KEY = "planner"
-# Time to live of the lease; no host plans for that long after its holder died.
+# Time to live of the lease. After its holder died, no host plans until it has expired
+# and another host has acquired it, except in a store outage (see ``leadership``).
 TTL_S = 3.0
 # Time between renewals, short enough for one to fail.
 RENEW_INTERVAL_S = 1.0
@@ -30,14 +31,17 @@
 def boottime_s() -> float:
     """Return the seconds since boot, including time in which the host was suspended.
 
-    A holder that resumes after a suspension must see that its lease has expired. By
-    the monotonic clock it would still be valid.
+    After a suspension the lease has expired by the store's clock. By the monotonic
+    clock it would seem valid here, and not yet due for renewal.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class LeaseRow(msgspec.Struct):
-    """Holder of the lease, and its expiry ``until_s`` by the store's clock."""
+    """Holder of the lease, and its expiry ``until_s`` by the store's clock.
+
+    ``boot`` identifies the run of the holder's process; it is written but not compared.
+    """
 
     holder: str
     boot: str
@@ -49,8 +53,9 @@
 
     ``fence`` is the fencing token, or 0 if this host is not the holder: the version of
     the holder's first write of the row. It grows from holder to holder, so endpoints
-    can refuse an older one. ``unreachable_since`` is the monotonic time since which
-    calls to the store have failed, or None.
+    can refuse an older one. It stays set after the expiry of a lease that could not be
+    renewed, until ``mark_lost`` or ``release``. ``unreachable_since`` is the monotonic
+    time since which calls to the store have failed, or None.
 
     Parameters
     ----------
@@ -58,14 +63,14 @@
         Keeps the lease's row.
     name : str
         Name of this host.
-    boot : str
+    run_id : str
         Identifies this run of the host's process.
     """
 
-    def __init__(self, store: Store, name: str, boot: str) -> None:
+    def __init__(self, store: Store, name: str, run_id: str) -> None:
         self._store = store
         self._name = name
-        self._boot = boot
+        self._run_id = run_id
         self._version = 0
         self._deadline = 0.0
         self._store_clock: tuple[float, float] | None = None
@@ -99,20 +104,22 @@
         except VersionConflictError as exc:
             self.unreachable_since = None
             self._store_clock = (exc.store_time_s, boottime_s())
-            self.mark_lost("another host wrote the row")
+            self.mark_lost("the row has another version")
         except _HeldByAnotherError:
             self.unreachable_since = None
         except StoreError as exc:
             if self.unreachable_since is None:
                 self.unreachable_since = time.monotonic()
-            logger.info("lease not written", cause=str(exc), fence=self.fence)
+            logger.info(
+                "lease not acquired or renewed", cause=str(exc), fence=self.fence
+            )
 
     async def release(self) -> None:
         """Release the lease for another host; keep it if the store does not respond."""
         if not self.fence:
             return
         deadline = time.monotonic() + CALL_TIMEOUT_S
-        row = LeaseRow(self._name, self._boot, 0.0)
+        row = LeaseRow(self._name, self._run_id, 0.0)
         version, fence = self._version, self.fence
         self.fence = 0
         try:
@@ -150,7 +157,7 @@
         assert self._store_clock is not None
         began = boottime_s()
         store_time_s = self._store_clock[0] + began - self._store_clock[1]
-        row = LeaseRow(self._name, self._boot, store_time_s + TTL_S)
+        row = LeaseRow(self._name, self._run_id, store_time_s + TTL_S)
         value = msgspec.json.encode(row)
         written = await self._store.write(
             Table.LEASE, LEASE_KEY, value, self._version, deadline
--- a/packages/router/src/hemlockhall_router/process/log.py
+++ b/packages/router/src/hemlockhall_router/process/log.py
@@ -22,7 +22,12 @@
 
 
 class JsonSink:
-    """Writes records as lines of JSON and drops those that would block."""
+    """Writes records as lines of JSON.
+
+    Records over ``MAX_LINES_PER_S`` and those whose write would block are dropped. A
+    line over ``MAX_LINE_BYTES`` is cut, and is then not valid JSON. Of an exception's
+    text the end is kept.
+    """
 
     def __init__(self, host: str, metrics: Metrics) -> None:
         self._host = host
@@ -42,6 +47,7 @@
             self._counts.clear()
         count = self._counts.get(event, 0) + 1
         self._counts[event] = count
+        # 40 is the number of the level ERROR.
         if count > MAX_LINES_PER_S and record["level"].no < 40:
             self._count_dropped()
             return
--- a/packages/router/src/hemlockhall_router/process/metric.py
+++ b/packages/router/src/hemlockhall_router/process/metric.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms of the router, as Prometheus text.
+"""Counters and latency summaries of the router, as Prometheus text.
 
 Rendered without the Prometheus client library, which adds 14 MB of billed memory
 to each host.
@@ -14,8 +14,8 @@
 if TYPE_CHECKING:
     from enum import Enum
 
-# Percentiles rendered of each histogram.
-QUANTILES = (50.0, 95.0, 99.0)
+# Percentiles rendered in each summary.
+PERCENTILES = (50.0, 95.0, 99.0)
 
 
 class Metrics:
@@ -44,7 +44,7 @@
         self._increment("refusals", reason)
 
     def count_retry(self, reason: RetryReason) -> None:
-        """Count a failed attempt."""
+        """Count a failed attempt, or a move of a stream, by its reason."""
         self._increment("retries", reason)
 
     def count_response(self, status: int) -> None:
@@ -73,7 +73,7 @@
 
 def _render_summary(latency: Latency) -> list[str]:
     lines = [f"# TYPE {latency.name} summary"]
-    for percentile in QUANTILES:
+    for percentile in PERCENTILES:
         value = latency.quantile(percentile)
         lines.append(f'{latency.name}{{quantile="{percentile / 100}"}} {value:.6f}')
     lines.append(f"{latency.name}_sum {latency.sum:.6f}")
--- a/packages/router/src/hemlockhall_router/process/outage.py
+++ b/packages/router/src/hemlockhall_router/process/outage.py
@@ -27,7 +27,7 @@
     watch : Watch
         Cached copy of the endpoint table.
     peer_store_stable : callable
-        Returns whether a live peer is connected and has not lost the store lately.
+        Returns whether the ``store_stable`` of a live peer is true.
     timing : Timing
         Source of the entry grace time.
     """
@@ -41,7 +41,11 @@
 
     @property
     def store_stable(self) -> bool:
-        """Whether this host is connected and has not lost the store recently."""
+        """Whether this host is connected and has had the store for some time.
+
+        It has been connected for ``STABLE_AFTER_S``, and no call to the store has
+        failed within the time ``entry_grace_s``.
+        """
         watch = self._watch
         if not watch.connected or self._lost_recently():
             return False
@@ -51,6 +55,9 @@
     def grace_deadline(self) -> float:
         """Return the monotonic time until which lapsed entries are kept, or 0.
 
+        It is 0 if a peer is stably connected, or if this host is connected and had no
+        failed call within the time ``entry_grace_s``.
+
         Entries of live endpoints lapse if the endpoints cannot reach the store to
         renew them. If the store was down for this host only, the endpoints could
         renew them, so a missing entry means that the endpoint left. Keeping it
--- a/packages/router/src/hemlockhall_router/process/planner.py
+++ b/packages/router/src/hemlockhall_router/process/planner.py
@@ -1,8 +1,10 @@
 """Planner that orders endpoints to load the layers of the layout.
 
-One host plans, under a lease. An order names the number of orders that the endpoint
-began before, and the lease's fencing token. The endpoint refuses an order that arrives
-after newer ones, or from a host whose lease has expired.
+The layout assigns to each endpoint the layers that it should hold. One host plans it,
+under a lease; in a store outage one may plan without the lease (see ``leadership``). An
+order names the number of orders that the endpoint began before, and the lease's fencing
+token. The endpoint refuses an order that arrives after newer ones, and can refuse one
+with an older fencing token than it has seen.
 """
 
 from __future__ import annotations
@@ -43,8 +45,8 @@
 PLAN_INTERVAL_S = 0.2
 # The same while nothing is known to have changed.
 IDLE_PLAN_INTERVAL_S = 1.0
-# Concurrent orders for each load that the weight store serves at full speed. More would
-# queue there and delay the loads that the layout needs first.
+# Concurrent orders for each load that the weight server serves at full speed. More
+# would queue there and delay the loads that the layout needs first.
 ORDERS_PER_LOAD = 8
 # Each concurrent order takes connections of this host.
 MAX_CONCURRENT_ORDERS = 128
@@ -127,7 +129,7 @@
         self._settle_deadlines: dict[str, float] = {}
         self._backoff_deadlines: dict[str, float] = {}
         self._idle: dict[str, tuple[int, float]] = {}
-        self._settled_groups: dict[str, set[GroupState]] = {}
+        self._converged_groups: dict[str, set[GroupState]] = {}
 
     async def run(self) -> None:
         """Plan until cancelled."""
@@ -167,13 +169,13 @@
             if self._is_fixed(by_id[endpoint_id], now)
         )
         division = self._directory.replica_index.division(service, model)
-        # A copy with a gap serves no requests. Waiting for the streams on an endpoint
-        # would keep the gap open until they end, many seconds under load; the few
-        # streams are moved instead.
+        # A replica with a gap serves no requests. Waiting for the streams on an
+        # endpoint would keep the gap open until they end, many seconds under load; the
+        # few streams are moved instead.
         immediate = not is_complete(model, members, serving, division)
-        settled = self._settled_groups.setdefault(service, set())
+        converged = self._converged_groups.setdefault(service, set())
         orders = plan_layout(
-            model, members, assigned, serving, fixed, division, settled
+            model, members, assigned, serving, fixed, division, converged
         )
         if not orders:
             if not fixed:
@@ -186,7 +188,7 @@
             if endpoint_id in fixed or endpoint_id in unroutable:
                 continue
             # All orders of a plan become pending together. Otherwise the next plan
-            # would see a copy that is ordered in part, and repair its gaps.
+            # would see a replica that is ordered in part, and repair its gaps.
             order = PendingOrder(layers, immediate=immediate)
             endpoint = by_id[endpoint_id]
             self._pending[endpoint.incarnation] = order
@@ -200,7 +202,11 @@
         planned: dict[str, LayerRange | None],
         division: ReplicaDivision,
     ) -> frozenset[str]:
-        """Return the endpoints whose paths would have too many stages, and log them."""
+        """Return the endpoints whose paths would have too many stages.
+
+        The event "plan refused" is logged and counted if there are any. Only their
+        orders are left out; the others of the plan are sent.
+        """
         unroutable = endpoints_beyond_max_stages(model, members, planned, division)
         if unroutable:
             self._metrics.count("plans_refused", "too_many_parts")
--- a/packages/router/src/hemlockhall_router/process/prober.py
+++ b/packages/router/src/hemlockhall_router/process/prober.py
@@ -25,9 +25,10 @@
 # Time in which a live and reachable endpoint answers a probe. It is short because a
 # stream there must be moved within its route's longest event gap.
 PROBE_TIMEOUT_S = 0.035
-# The same where no stream waits: after an order, or for an endpoint already down.
+# The same where no stream waits: for orders, or for an endpoint already down.
 RELAXED_PROBE_TIMEOUT_S = 0.4
-# Time between two probes of an endpoint by one host, for every four hosts. All hosts
+# Time between two probes of an endpoint by one host. It is multiplied by the number of
+# hosts in this data centre over HOSTS_PER_PROBE_INTERVAL, if that is above 1: all hosts
 # probe, each probe is billed, and an endpoint answers about a hundred a second.
 PROBE_INTERVAL_S = 0.5
 HOSTS_PER_PROBE_INTERVAL = 4
@@ -37,23 +38,23 @@
 SILENCE_FACTOR_GROWTH = 1.6
 MAX_SILENCE_FACTOR = 2.5
 SILENCE_FACTOR_DECAY = 0.9975
-# Time between two probes of an endpoint that is down or slow, for every four hosts.
+# Time between two probes of an endpoint that is down or slow, multiplied likewise.
 UNHEALTHY_PROBE_INTERVAL_S = 1.0
-# Overrun of a wait from which this host itself counts as stalled. What it missed
+# If a sleep ends late by this much, this host itself counts as stalled. What it missed
 # meanwhile says nothing about the endpoints.
 STALL_S = 0.03
 # Time between two checks of the active streams for silence.
 POLL_INTERVAL_S = 0.01
-# Probes in a round from which a failed majority is put down to this host, as slow or
-# partitioned. Marking all these endpoints as down would turn a local fault into an
-# outage.
+# Least number of probes in a round of which a failed majority is attributed to this
+# host, as slow or partitioned. Marking all these endpoints as down would turn a local
+# fault into an outage.
 MIN_ROUND_PROBES = 4
 
 
 async def call_endpoint(
     endpoint: Endpoint, call: EndpointCall, deadline: float
 ) -> Response:
-    """Call an endpoint's control interface on a new connection.
+    """Call an endpoint's control API on a new connection.
 
     Raises ``TransportError`` if no whole response arrives by ``deadline``.
     """
--- a/packages/router/src/hemlockhall_router/process/router.py
+++ b/packages/router/src/hemlockhall_router/process/router.py
@@ -47,6 +47,7 @@
     from hemlockhall_router.process.store import Row
     from hemlockhall_router.version.routing import RoutingConfig
 
+# Time between two runs of the periodic work in ``_run_maintenance``.
 MAINTENANCE_INTERVAL_S = 0.25
 # The settings file may change without a SIGHUP.
 SETTINGS_POLL_INTERVAL_S = 1.0
@@ -56,29 +57,30 @@
 # The process exits this long before the platform kills it; requests that are still
 # open then are aborted.
 EXIT_MARGIN_S = 0.8
-# Far above the duration of a call to the store.
+# Above the usual duration of a call to the store; bounds the time to exit.
 LEASE_RELEASE_TIMEOUT_S = 0.3
 LISTEN_BACKLOG = 1024
 
 
 class Router:
-    """An entry host in front of HTTP endpoints.
+    """The router process of one host, in front of HTTP endpoints.
 
     Parameters
     ----------
     path : Path
-        The settings file; reloaded when it changes.
+        The settings file; reloaded when it changes. The sections ``retry``, ``bounds``
+        and ``leave`` then take effect, the others only after a restart.
     settings : RouterSettings
         Its contents.
     metrics : Metrics
-        Counters and histograms of the process.
+        Counters and latency summaries of the process.
     """
 
     def __init__(self, path: Path, settings: RouterSettings, metrics: Metrics) -> None:
         self._path = path
         self._settings = settings
         self._metrics = metrics
-        self._boot = secrets.token_hex(4)
+        self._run_id = secrets.token_hex(4)
         host = settings.host
         self._dialect = load_dialect(host.dialect, host.dialect_module)
         self._store = self._dialect.open_store(settings.store.address)
@@ -89,7 +91,7 @@
             settings.listen.hosts,
             host.data_centre,
             host.capacity,
-            self._boot,
+            self._run_id,
         )
         self.membership = Membership(
             contact,
@@ -112,7 +114,7 @@
         self.directory = Directory(
             self._dialect.decode_endpoint, self._outage.grace_deadline, self._timing
         )
-        self.lease = Lease(self._store, host.name, self._boot)
+        self.lease = Lease(self._store, host.name, self._run_id)
         retry = settings.retry
         self.budget = RetryBudget(
             retry.ratio,
@@ -158,7 +160,9 @@
 
     async def run(self) -> None:
         """Serve until SIGTERM, then until requests finish or the grace time ends."""
-        logger.info("start", boot=self._boot, place=self._settings.host.data_centre)
+        logger.info(
+            "router starts", boot=self._run_id, place=self._settings.host.data_centre
+        )
         # Objects loaded so far live as long as the process: scanning them in each
         # garbage collection would only cost time.
         gc.freeze()
@@ -236,7 +240,9 @@
             if routing is None:
                 continue
             if self.routing is not None and routing.version <= self.routing.version:
-                logger.warning("older configuration ignored", version=routing.version)
+                logger.warning(
+                    "configuration ignored: not newer", version=routing.version
+                )
                 continue
             self.routing = routing
             logger.info("configuration in force", version=routing.version)
@@ -333,7 +339,11 @@
                     self._task_group.start_soon(self.leave)
 
     async def leave(self) -> None:
-        """Shut down: serve until the load balancer has removed this host, then exit."""
+        """Shut down: serve while requests arrive or are open, then exit.
+
+        Waits until the load balancer has removed this host, then for open requests
+        until shortly before the end of ``leave.grace_s``.
+        """
         logger.info("leaving", open_requests=self.frontend.open_requests)
         started_at = time.monotonic()
         exit_at = started_at + self._settings.leave.grace_s - EXIT_MARGIN_S
@@ -346,7 +356,7 @@
         self.frontend.close_idle()
         with anyio.move_on_after(LEASE_RELEASE_TIMEOUT_S):
             await self.lease.release()
-        logger.info("end", open_requests=self.frontend.open_requests)
+        logger.info("router stops", open_requests=self.frontend.open_requests)
         assert self._task_group is not None
         self._task_group.cancel_scope.cancel()
 
--- a/packages/router/src/hemlockhall_router/process/setting.py
+++ b/packages/router/src/hemlockhall_router/process/setting.py
@@ -12,11 +12,15 @@
 
 
 class SettingsError(Exception):
-    """The settings are invalid; the text names the field and the fix."""
+    """The settings are invalid; the text names the file and, if known, the field."""
 
 
 class HostSection(msgspec.Struct, frozen=True, kw_only=True):
-    """Name, dialect and capacity of this host."""
+    """Name, data centre, dialect and capacity of this host.
+
+    ``cores`` and ``cpu_share`` state its processor capacity, and ``link_mbps`` that of
+    its network connection in Mbit/s.
+    """
 
     name: str
     data_centre: str
@@ -28,7 +32,7 @@
 
     @property
     def capacity(self) -> int:
-        """Rank among hosts by processor and link capacity."""
+        """Processor times link capacity; the hubs are the hosts with the most."""
         return round(self.cores * self.cpu_share * self.link_mbps)
 
 
@@ -84,7 +88,10 @@
 
 
 class RouterSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """All sections; unknown fields are ignored."""
+    """All sections; unknown fields are ignored.
+
+    ``seeds`` are the addresses of other hosts to contact first.
+    """
 
     host: HostSection
     listen: ListenSection
@@ -118,7 +125,7 @@
     for field, address in addresses.items():
         host, _, port = address.rpartition(":")
         if not host or not port.isdigit():
-            msg = f'{path}: {field}: must be an IP number and a port, got "{address}"'
+            msg = f'{path}: {field}: must be an IP address and a port, got "{address}"'
             raise SettingsError(msg)
     _validate_positive(path, settings)
     return settings
--- a/packages/router/src/hemlockhall_router/process/store.py
+++ b/packages/router/src/hemlockhall_router/process/store.py
@@ -25,7 +25,7 @@
 
 
 class StoreNoAnswerError(StoreError):
-    """No answer came: a write may have been applied, or may be applied later."""
+    """No response came: a write may have been applied, or may be applied later."""
 
 
 class HistoryCompactedError(StoreError):
@@ -65,7 +65,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WriteResult:
-    """An accepted write."""
+    """An accepted write; ``version`` is the new version of the row."""
 
     version: int
     store_time_s: float
--- a/packages/router/src/hemlockhall_router/process/timing.py
+++ b/packages/router/src/hemlockhall_router/process/timing.py
@@ -12,16 +12,17 @@
 # in seconds as well is the smaller of the two: short bounds shorten it.
 GOSSIP_INTERVAL_S = 0.25
 GOSSIP_INTERVAL_FRACTION = 0.125
-# A configuration must arrive within ``config_ms`` even if a hub dies just before:
-# that leaves time for the next hub and one call to the store.
+# A configuration must arrive within ``config_ms`` even if a hub (a host that passes on
+# what the hosts of its data centre report) dies just before: that leaves time for the
+# next hub and one call to the store.
 HOST_TIMEOUT_S = 1.0
 HOST_TIMEOUT_FRACTION = 0.5
 MAX_STALENESS_FRACTION = 0.9
 # Changes come in groups, and each call to the store is billed.
 DEBOUNCE_S = 0.4
 DEBOUNCE_FRACTION = 0.2
-# Multiples of ``config_ms``. The first applies if all hosts watch the store, the
-# second while no other host is heard.
+# Multiples of ``config_ms``. The first bounds long polls while other hosts are heard,
+# the second applies while none is heard.
 LONG_POLL_FACTOR = 2.5
 LONG_POLL_ALONE_FACTOR = 1.25
 READ_TIMEOUT_S = 1.5
@@ -47,7 +48,7 @@
 
     @property
     def gossip_interval_s(self) -> float:
-        """Interval between two gossip rounds of the hosts."""
+        """Interval between two rounds in which a host sends its state to others."""
         return min(GOSSIP_INTERVAL_S, self._config_s * GOSSIP_INTERVAL_FRACTION)
 
     @property
--- a/packages/router/src/hemlockhall_router/process/watch.py
+++ b/packages/router/src/hemlockhall_router/process/watch.py
@@ -1,4 +1,4 @@
-"""Cached copy of one table of the store, kept up to date by long polls."""
+"""Cached copy of one table, kept up to date by long polls and by other hosts."""
 
 from __future__ import annotations
 
@@ -49,8 +49,8 @@
 
     ``last_change`` is the version of the newest change, and ``complete_as_of`` the
     monotonic time as of which the copy is known to be complete. ``connected`` tells
-    whether the last call to the store succeeded, ``connected_at`` when that began;
-    ``last_failure_at`` is the time of the last failed call, or 0.
+    whether this host watches the store and its last call succeeded, ``connected_at``
+    when that began; ``last_failure_at`` is the time of the last failed call, or 0.
 
     Parameters
     ----------
@@ -84,7 +84,8 @@
         self.complete_as_of = float("-inf")
         self.rows: dict[str, Row] = {}
         self._tombstones: dict[str, Row] = {}
-        self._tombstone_floor = 0
+        # Version of the newest deletion that was dropped from the tombstones.
+        self._dropped_deletion_version = 0
         self.connected = False
         self.connected_at = 0.0
         self.last_failure_at = 0.0
@@ -209,7 +210,7 @@
         self._tombstones[row.key] = row
         while len(self._tombstones) > MAX_TOMBSTONES:
             oldest = min(self._tombstones.values(), key=lambda item: item.version)
-            self._tombstone_floor = oldest.version
+            self._dropped_deletion_version = oldest.version
             del self._tombstones[oldest.key]
 
     def changes_since(self, version: int) -> tuple[bool, list[Row]]:
@@ -217,7 +218,7 @@
 
         All rows follow, without deletions, if the tombstones do not go back that far.
         """
-        if version < self._tombstone_floor or version == 0:
+        if version < self._dropped_deletion_version or version == 0:
             return True, list(self.rows.values())
         changed = [row for row in self.rows.values() if row.version > version]
         changed += [row for row in self._tombstones.values() if row.version > version]
--- a/packages/router/src/hemlockhall_router/request/stream.py
+++ b/packages/router/src/hemlockhall_router/request/stream.py
@@ -301,7 +301,7 @@
         if self._writer.started:
             return False
         return (
-            self._context.chooser.seconds_without_path(self._request.service.name)
+            self._context.chooser.seconds_since_path_found(self._request.service.name)
             > PATH_RESTORE_WAIT_S
         )
 
--- a/tests/router/test_budget.py
+++ b/tests/router/test_budget.py
@@ -35,12 +35,12 @@
                 CONSTANT,
                 WINDOW_S,
                 lambda: hosts,
-                self.cluster_usage,
+                self.usage_of_all_hosts,
                 lambda: self.now,
             )
             self.budgets.append(budget)
 
-    def cluster_usage(self) -> tuple[int, list[RetryUsage]]:
+    def usage_of_all_hosts(self) -> tuple[int, list[RetryUsage]]:
         return len(self.budgets), self.reported_usage[0] if self.reported_usage else []
 
     def step(self) -> None:
@@ -151,7 +151,7 @@
         fresh.now = fleet.now
         fleet.budgets[:half] = fresh.budgets
         for budget in fresh.budgets:
-            budget._cluster_usage = fleet.cluster_usage
+            budget._usage_of_all_hosts = fleet.usage_of_all_hosts
         for _ in range(8):
             for host in range(HOSTS):
                 fleet.requests(host, 1)
--- a/tests/router/test_client.py
+++ b/tests/router/test_client.py
@@ -27,11 +27,11 @@
 
 @asynccontextmanager
 async def server(
-    *writes: bytes, reset: bool = False
+    *writes: bytes, close: bool = False
 ) -> AsyncIterator[ClientConnection]:
     """Connect to a server that sends ``writes`` after it received something.
 
-    It then closes the connection if ``reset``, and else keeps it open.
+    It then closes the connection if ``close``, and else keeps it open.
     """
 
     async def serve(stream: SocketStream) -> None:
@@ -40,7 +40,7 @@
             for data in writes:
                 await stream.send(data)
                 await anyio.sleep(0.03)
-            if not reset:
+            if not close:
                 await anyio.sleep_forever()
 
     listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
@@ -56,9 +56,8 @@
 
 class TestResponses:
     async def test_a_late_response_and_part_of_the_next_in_one_read(self) -> None:
-        """A late response to an earlier request arrives in one read with half of
-        the current one. That half was added to the late body, and the caller got
-        only the rest."""
+        """Guards against a response without its first half: that half arrives in one
+        read with a late response to an earlier request, and is added to its body."""
         late = make_response(1, b"late", 503)
         current = make_response(2, b"0123456789")
         async with server(late + current[:-5], current[-5:]) as conn:
@@ -71,9 +70,8 @@
     async def test_a_connection_is_not_reusable_while_a_response_is_awaited(
         self,
     ) -> None:
-        """The request is abandoned after a late response was skipped. The
-        connection counted as idle and stayed open, so the endpoint went on with
-        the abandoned request."""
+        """Guards against a connection that stays open as idle though its request was
+        abandoned after a late response: the endpoint would go on with the request."""
         async with server(make_response(1, b"late")) as conn:
             await conn.read_response(deadline())
             with pytest.raises(ConnectionLostError):
@@ -111,7 +109,7 @@
 
     async def test_a_truncated_chunk_raises_connection_lost(self) -> None:
         head = b"HTTP/1.1 200 X\r\ntransfer-encoding: chunked\r\n\r\n"
-        async with server(head + b"5\r\nabc", reset=True) as conn:
+        async with server(head + b"5\r\nabc", close=True) as conn:
             with pytest.raises(ConnectionLostError):
                 await conn.read_response(deadline())
 
--- a/tests/router/test_directory.py
+++ b/tests/router/test_directory.py
@@ -68,9 +68,9 @@
 
 
 def report(
-    used: int, *, orders: int = 0, layers: LayerRange | None = None
+    used: int, *, order_count: int = 0, layers: LayerRange | None = None
 ) -> EndpointReport:
-    return EndpointReport(False, orders, 0, 1, used, TOTAL, layers, 1)
+    return EndpointReport(False, order_count, 0, 1, used, TOTAL, layers, 1)
 
 
 class TestPresumedDraining:
@@ -139,20 +139,20 @@
         assert directory.records["p1"].endpoint.layers == LayerRange(4, 8)
         assert directory.layer_updates() == [LayerUpdate(key, 1, 3, 4, 8)]
 
-    @pytest.mark.parametrize("fact", [(1, 3, 0, 4), (1, 2, 0, 4), (2, 9, 0, 4)])
+    @pytest.mark.parametrize("update", [(1, 3, 0, 4), (1, 2, 0, 4), (2, 9, 0, 4)])
     def test_older_or_foreign_layer_update_is_ignored(
-        self, directory: Directory, fact: tuple[int, int, int, int]
+        self, directory: Directory, update: tuple[int, int, int, int]
     ) -> None:
         """Guards against known layers that revert to older ones."""
         key = endpoint_key("p1")
         directory.apply_layer_updates([LayerUpdate(key, 1, 3, 4, 8)])
-        directory.apply_layer_updates([LayerUpdate(key, *fact)])
+        directory.apply_layer_updates([LayerUpdate(key, *update)])
         assert directory.records["p1"].endpoint.layers == LayerRange(4, 8)
 
     def test_older_store_entry_does_not_revert_layers(
         self, directory: Directory
     ) -> None:
-        directory.apply_report("p1", report(0, orders=3, layers=LayerRange(4, 8)))
+        directory.apply_report("p1", report(0, order_count=3, layers=LayerRange(4, 8)))
         row = EndpointRow("pool", 1, orders=2, layers=(0, 8))
         directory.apply_rows([Row("p1", msgspec.json.encode(row), 2)])
         assert directory.records["p1"].endpoint.layers == LayerRange(4, 8)
@@ -168,7 +168,7 @@
         record = directory.records["p1"]
         directory.set_remote_loads({record.key: Load(record.key, 1, 100, 0, 50)})
         assert record.down
-        record.down_at -= 2 * REMOTE_EVENT_DELAY_S
+        record.down_changed_at -= 2 * REMOTE_EVENT_DELAY_S
         directory.set_remote_loads({record.key: Load(record.key, 1, 100, 0, 50)})
         assert not record.down
         assert record.load == 1
@@ -200,7 +200,9 @@
         directory.records["p1"].endpoint = replace(
             directory.records["p1"].endpoint, started_ms=3
         )
-        new_report = replace(report(0, orders=1, layers=LayerRange(0, 4)), started_ms=7)
+        new_report = replace(
+            report(0, order_count=1, layers=LayerRange(0, 4)), started_ms=7
+        )
         directory.set_down("p1", down=True)
         directory.apply_report("p1", new_report)
         self.restart(directory)
--- a/tests/router/test_load_fleet.py
+++ b/tests/router/test_load_fleet.py
@@ -254,6 +254,6 @@
 def record_groups(directory) -> list[list]:
     division = directory.replica_index.division(POOL, MODEL)
     by_replica: dict[Replica, list] = {}
-    for record in directory.replica_index.endpoints(POOL):
+    for record in directory.replica_index.records(POOL):
         by_replica.setdefault(division.replica(record.endpoint), []).append(record)
     return list(by_replica.values())
--- a/tests/router/test_planner.py
+++ b/tests/router/test_planner.py
@@ -1,4 +1,4 @@
-"""Planner and leadership: orders are conditional, bounded and sent once."""
+"""Planner and leadership: orders are conditional, bounded and executed once."""
 
 from __future__ import annotations
 
--- a/tests/router/test_pool.py
+++ b/tests/router/test_pool.py
@@ -31,9 +31,8 @@
 
 class TestCloseExpired:
     async def test_a_request_takes_a_connection_while_others_are_closed(self) -> None:
-        """While the pool closes the first of two expired connections, a request
-        takes the second. The pool then failed on the missing connection, which
-        ended the process."""
+        """Guards against a pool that fails, and ends the process, if a request takes
+        the second of two expired connections while the pool closes the first."""
         pool = ConnectionPool()
         conns = [SlowClosingConnection(), SlowClosingConnection()]
         for conn in conns:
--- a/tests/router/test_process.py
+++ b/tests/router/test_process.py
@@ -83,7 +83,7 @@
         output, _ = router.process.communicate(timeout=20)
         assert router.process.returncode == 0
         assert b'"event":"leaving"' in output
-        assert b'"event":"end"' in output
+        assert b'"event":"router stops"' in output
 
     def test_check_settings_names_the_invalid_field(self, tmp_path: Path) -> None:
         path = tmp_path / "settings.toml"
--- a/tests/router/test_store.py
+++ b/tests/router/test_store.py
@@ -116,9 +116,9 @@
             )
 
     async def test_an_entry_removed_while_only_one_host_was_cut_off(self) -> None:
-        """Only one of two hosts loses the store, and an endpoint leaves meanwhile.
-        The host mistook its removed entry for one that lapsed in an outage, and
-        kept sending it requests for two more seconds."""
+        """Guards against requests to a removed endpoint for two more seconds: only one
+        of two hosts loses the store, an entry is removed meanwhile, and the host takes
+        it for one that lapsed in an outage."""
         async with router_harness(ROUTES) as harness:
             await harness.start_endpoint("d1", respond)
             address, second_store = new_store()
