--- a/packages/standins/src/hemlockhall_standins/router/__init__.py
+++ b/packages/standins/src/hemlockhall_standins/router/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what a router meets: endpoints, the store, callers."""
+"""Test doubles for the peers of a router: endpoints, the store, other hosts."""
--- a/packages/standins/src/hemlockhall_standins/router/dialect.py
+++ b/packages/standins/src/hemlockhall_standins/router/dialect.py
@@ -1,4 +1,4 @@
-"""A plain dialect for tests: short header names, rows as JSON."""
+"""A minimal dialect for tests: short header names, rows as JSON."""
 
 from __future__ import annotations
 
@@ -36,18 +36,18 @@
 
 LAYERS = 8
 STORES: dict[str, MemoryStore] = {}
-_numbers = itertools.count(1)
+_ports = itertools.count(1)
 
 
 def new_store() -> tuple[str, MemoryStore]:
-    """Return an address and the store that the dialect finds there."""
-    address = f"127.0.0.1:{next(_numbers)}"
+    """Create an empty store; return it with the address that the dialect opens."""
+    address = f"127.0.0.1:{next(_ports)}"
     STORES[address] = MemoryStore()
     return address, STORES[address]
 
 
 class RouteRow(msgspec.Struct):
-    """A route as tests write it."""
+    """A route of a ``RoutingRow``."""
 
     prefix: str
     kind: str
@@ -61,7 +61,10 @@
 
 
 class RoutingRow(msgspec.Struct):
-    """A configuration as tests write it; ``keys`` are customers by key."""
+    """Routing configuration of the tests.
+
+    ``keys`` maps API keys to customers; with None requests need no key.
+    """
 
     version: int
     routes: list[RouteRow]
@@ -73,7 +76,7 @@
 
 
 class EndpointRow(msgspec.Struct):
-    """An endpoint as tests write it."""
+    """Store row of an endpoint; ``layers`` are first and end (exclusive)."""
 
     service: str
     port: int
@@ -87,7 +90,7 @@
 
 
 class ReportRow(msgspec.Struct):
-    """An endpoint's answer for its state."""
+    """Response of an endpoint to ``GET /state``."""
 
     busy: bool = False
     orders: int = 0
@@ -96,7 +99,10 @@
 
 
 class OrderRow(msgspec.Struct):
-    """An order to hold layers."""
+    """Order to hold layers, the body of ``POST /hold``.
+
+    ``orders`` is the number of orders that the endpoint must have begun before.
+    """
 
     layers: tuple[int, int]
     orders: int
@@ -105,7 +111,7 @@
 
 
 def model(layers: int = LAYERS) -> Model:
-    """Return a small model."""
+    """Return a small model for two kinds of accelerators."""
     kinds = {
         "big": Accelerator(8.0, 1.0, 1.0),
         "small": Accelerator(4.0, 4.0, 4.0),
@@ -129,7 +135,7 @@
 
 @dialect("standin")
 class StandinDialect(Dialect):
-    """The dialect of the tests."""
+    """Encodes and decodes the rows of this module."""
 
     headers = HeaderNames(
         request_id=b"request-id",
@@ -148,7 +154,7 @@
     ready_path = b"/ready"
 
     def open_store(self, address: str) -> Store:
-        """Return the store that ``new_store`` made, or an empty one."""
+        """Return the store that ``new_store`` created there, else an empty one."""
         return STORES.setdefault(address, MemoryStore())
 
     def decode_routing(self, key: str, value: bytes) -> RoutingConfig | None:
@@ -165,8 +171,10 @@
         )
         for entry in row.routes:
             routing.add(_route(entry))
-            split = model() if entry.kind == "stream" else None
-            routing.services[entry.service] = Service(entry.service, "/", 0, 8, split)
+            service_model = model() if entry.kind == "stream" else None
+            routing.services[entry.service] = Service(
+                entry.service, "/", 0, 8, service_model
+            )
         for name, customer in (row.keys or {}).items():
             routing.customers[name.encode()] = Customer(customer)
         return routing
@@ -192,18 +200,20 @@
         )
 
     def decode_token_counts(self, head: RequestHead) -> TokenCounts | None:
-        """Tests state no sizes."""
+        """Return None: requests of the tests carry no token counts."""
         return None
 
     def encode_path(self, path: Path) -> bytes:
-        """Encode a path as ids with layers."""
-        parts = []
-        for part in path.stages:
-            parts.append(f"{part.endpoint.id}:{part.layers.first}-{part.layers.end}")
-        return " ".join(parts).encode()
+        """Encode a path as ``id:first-end``, separated by spaces."""
+        stages = []
+        for stage in path.stages:
+            stages.append(
+                f"{stage.endpoint.id}:{stage.layers.first}-{stage.layers.end}"
+            )
+        return " ".join(stages).encode()
 
     def report_call(self) -> EndpointCall:
-        """Return the call for an endpoint's state."""
+        """Return the call that asks an endpoint for its report."""
         return EndpointCall(b"GET", b"/state", [])
 
     def decode_report(self, body: bytes) -> EndpointReport:
@@ -223,7 +233,10 @@
         return EndpointCall(b"POST", b"/hold", [], msgspec.json.encode(row))
 
     def reroute_call(self, request_id: bytes, path: Path) -> EndpointCall:
-        """Tests give no such order yet."""
+        """Encode the request id and its new path.
+
+        ``ScriptedEndpoint`` passes it to its handler like any other request.
+        """
         return EndpointCall(
             b"POST", b"/move", [], request_id + b" " + self.encode_path(path)
         )
--- a/packages/standins/src/hemlockhall_standins/router/endpoint.py
+++ b/packages/standins/src/hemlockhall_standins/router/endpoint.py
@@ -1,4 +1,4 @@
-"""An endpoint that does to each request what a test says."""
+"""Endpoint whose responses a test scripts."""
 
 from __future__ import annotations
 
@@ -21,12 +21,15 @@
 
     from hemlockhall_router.connection.message import RequestHead
 
-LIMITS = CallerLimits(idle_s=30.0)
+READER_LIMITS = CallerLimits(idle_s=30.0)
 
 
 @dataclass
 class ReceivedRequest:
-    """A request as it reached the endpoint, and the ways to answer it."""
+    """A request as the endpoint received it, with methods to respond.
+
+    ``ended`` is set once the connection is closed or reset.
+    """
 
     head: RequestHead
     body: bytes
@@ -36,14 +39,19 @@
     ended: bool = False
 
     def header(self, name: str) -> str | None:
-        """Return a header of the request."""
+        """Return the value of a request header, None if it is missing."""
         value = self.head.header(name.encode())
         return value.decode() if value is not None else None
 
     async def answer(
         self, status: int = 200, body: bytes = b"", headers: str = ""
     ) -> None:
-        """Send a whole answer, signed unless it says that nothing ran."""
+        """Send a complete response.
+
+        It carries the endpoint's signature, unless ``headers`` says that the
+        request was not executed (``not-run``). ``headers`` is a text of lines that
+        end in CRLF.
+        """
         signed = "" if "not-run" in headers else f"signature: {self.endpoint.name}\r\n"
         echo = f"request-id: {self.header('request-id')}\r\n"
         head = f"HTTP/1.1 {status} X\r\n{signed}{echo}{headers}"
@@ -51,35 +59,35 @@
         await self.stream.send(head.encode() + body)
 
     async def refuse(self, status: int = 503, headers: str = "") -> None:
-        """Say that the request did not run."""
+        """Respond that the request was not executed."""
         await self.answer(status, headers=f"not-run: 1\r\n{headers}")
 
     async def begin(self) -> None:
-        """Send the head of a stream."""
+        """Send the response head of an event stream."""
         head = "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n"
         head += f"signature: {self.endpoint.name}\r\n"
         head += f"request-id: {self.header('request-id')}\r\n"
         await self.stream.send(f"{head}transfer-encoding: chunked\r\n\r\n".encode())
 
     async def raw(self, data: bytes) -> None:
-        """Send bytes of a stream as one chunk."""
+        """Send bytes as one chunk of the stream."""
         await self.stream.send(b"%x\r\n%b\r\n" % (len(data), data))
 
     async def event(self, number: int) -> None:
-        """Send one event of a stream."""
+        """Send the event of this number."""
         await self.raw(event_text(number))
 
     async def end(self) -> None:
-        """End a stream that is complete."""
+        """Send the last chunk, which completes the stream."""
         await self.stream.send(b"0\r\n\r\n")
 
     async def close(self) -> None:
-        """Close the connection in order."""
+        """Close the connection with a FIN."""
         self.ended = True
         await self.stream.aclose()
 
     async def reset(self) -> None:
-        """Reset the connection."""
+        """Reset the connection (RST)."""
         self.ended = True
         sock = self.stream.extra(SocketAttribute.raw_socket)
         sock.setsockopt(SOL_SOCKET, SO_LINGER, struct.pack("ii", 1, 0))
@@ -87,7 +95,7 @@
 
 
 def event_text(number: int) -> bytes:
-    """Return an event as all endpoints of a test send it."""
+    """Return the bytes of an event; they are the same from every endpoint."""
     return b"id: %d\ndata: word%d\n\n" % (number, number)
 
 
@@ -96,25 +104,26 @@
 
 @dataclass
 class ScriptedEndpoint:
-    """Listens on loopback and runs ``script`` for each request.
+    """Listens on loopback and runs ``handler`` for each request.
 
-    ``late_orders`` is the number of orders that it leaves without an answer and
-    carries out when the test calls ``catch_up``.
+    ``GET /state`` and ``POST /hold`` are served without the handler. The next
+    ``unanswered_orders`` orders get no response; ``apply_pending_orders`` applies
+    them. ``disconnects`` counts callers that closed their connection early.
     """
 
     name: str
-    script: RequestHandler
+    handler: RequestHandler
     port: int = 0
     received: list[ReceivedRequest] = field(default_factory=list)
     orders: list[OrderRow] = field(default_factory=list)
     state: ReportRow = field(default_factory=ReportRow)
     disconnects: int = 0
-    late_orders: int = 0
-    waiting: list[OrderRow] = field(default_factory=list)
+    unanswered_orders: int = 0
+    pending_orders: list[OrderRow] = field(default_factory=list)
     _scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)
 
     async def start(self, group: TaskGroup) -> None:
-        """Begin to listen; the port is the kernel's."""
+        """Listen on a free port of loopback, stored in ``port``."""
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
         self.port = listener.extra(SocketAttribute.local_port)
         await group.start(self._serve, listener)
@@ -128,57 +137,57 @@
         with self._scope:
             task_status.started()
             async with listener:
-                await listener.serve(self._connection)
+                await listener.serve(self._serve_connection)
 
     def stop(self) -> None:
-        """Stop listening and cut all connections."""
+        """Stop listening and close all connections."""
         self._scope.cancel()
 
-    async def _connection(self, stream: SocketStream) -> None:
-        reader = CallerReader(stream, LIMITS)
+    async def _serve_connection(self, stream: SocketStream) -> None:
+        reader = CallerReader(stream, READER_LIMITS)
         try:
             async with stream:
-                while await self._request(stream, reader):
+                while await self._serve_request(stream, reader):
                     continue
         except (CallerDisconnectedError, anyio.BrokenResourceError):
             self.disconnects += 1
         except anyio.ClosedResourceError:
             return
 
-    async def _request(self, stream: SocketStream, reader: CallerReader) -> bool:
+    async def _serve_request(self, stream: SocketStream, reader: CallerReader) -> bool:
         head = await reader.read_head()
         if head is None:
             return False
         body = await reader.read_body(float("inf"))
-        arrival = ReceivedRequest(head, body, stream, reader, self)
+        request = ReceivedRequest(head, body, stream, reader, self)
         if head.target == b"/state":
-            await arrival.answer(body=msgspec.json.encode(self.state))
+            await request.answer(body=msgspec.json.encode(self.state))
         elif head.target == b"/hold":
-            await self._hold(arrival)
+            await self._receive_order(request)
         else:
-            self.received.append(arrival)
-            await self.script(arrival)
-        if arrival.ended:
+            self.received.append(request)
+            await self.handler(request)
+        if request.ended:
             return False
         reader.finish_request()
         return True
 
-    async def _hold(self, arrival: ReceivedRequest) -> None:
-        order = msgspec.json.decode(arrival.body, type=OrderRow)
-        if self.late_orders:
-            self.late_orders -= 1
-            self.waiting.append(order)
-            await arrival.reader.wait_disconnect()
-            arrival.ended = True
+    async def _receive_order(self, request: ReceivedRequest) -> None:
+        order = msgspec.json.decode(request.body, type=OrderRow)
+        if self.unanswered_orders:
+            self.unanswered_orders -= 1
+            self.pending_orders.append(order)
+            await request.reader.wait_disconnect()
+            request.ended = True
             return
-        await arrival.answer(202 if self._begin(order) else 409)
+        await request.answer(202 if self._apply_order(order) else 409)
 
-    def catch_up(self) -> None:
-        """Carry out the orders that were left without an answer."""
-        while self.waiting:
-            self._begin(self.waiting.pop(0))
+    def apply_pending_orders(self) -> None:
+        """Apply the orders that got no response."""
+        while self.pending_orders:
+            self._apply_order(self.pending_orders.pop(0))
 
-    def _begin(self, order: OrderRow) -> bool:
+    def _apply_order(self, order: OrderRow) -> bool:
         if order.orders != self.state.orders:
             return False
         self.orders.append(order)
--- a/packages/standins/src/hemlockhall_standins/router/harness.py
+++ b/packages/standins/src/hemlockhall_standins/router/harness.py
@@ -1,4 +1,4 @@
-"""A router in this process, with a store in memory and scripted endpoints."""
+"""Routers in the test process, with an in-memory store and scripted endpoints."""
 
 from __future__ import annotations
 
@@ -35,22 +35,21 @@
 from hemlockhall_standins.router.endpoint import RequestHandler, ScriptedEndpoint
 from hemlockhall_standins.router.store import MemoryStore
 
-# Seconds a test waits for what must happen; generous, so that a busy machine
-# does not fail a test that asserts no time.
+# Long, so that a busy machine fails no test that asserts no time.
 WAIT_S = 20.0
 HOST = "hall.example"
-# Ports of loopback for listening: the first, and the one after the last.
-PORTS = (20_000, 32_000)
+# Range of listening ports, end exclusive, below the ephemeral ports of Linux.
+LISTEN_PORTS = (20_000, 32_000)
 
 
 def free_port() -> int:
-    """Return a port of loopback that nobody listens on.
+    """Return an unused port of loopback.
 
-    It lies below those that the system gives to outgoing connections: one of
-    these could be taken by a connection before the caller listens on it.
+    It is below the ephemeral range: an outgoing connection could take a port of
+    that range before the caller listens on it.
     """
     while True:
-        port = random.randrange(*PORTS)  # noqa: S311
+        port = random.randrange(*LISTEN_PORTS)  # noqa: S311
         with socket.socket() as sock:
             try:
                 sock.bind(("127.0.0.1", port))
@@ -61,7 +60,7 @@
 
 @dataclass
 class RouterHarness:
-    """A running router and what it meets."""
+    """Running routers, their store and what they are configured with."""
 
     group: anyio.abc.TaskGroup
     store: MemoryStore
@@ -76,7 +75,7 @@
     async def add_router(
         self, *, grace_s: float = 3.0, address: str | None = None
     ) -> Router:
-        """Start a router, and wait until it is ready unless it is cut off."""
+        """Start a router and wait until it is ready."""
         name = f"host-{len(self.routers)}"
         port = free_port()
         settings = RouterSettings(
@@ -111,10 +110,10 @@
         self.store.put(Table.ROUTING, "configuration", msgspec.json.encode(row))
 
     async def start_endpoint(
-        self, name: str, script: RequestHandler, service: str = "desk", **row: object
+        self, name: str, handler: RequestHandler, service: str = "desk", **row: object
     ) -> ScriptedEndpoint:
-        """Start an endpoint and enter it in the store."""
-        endpoint = ScriptedEndpoint(name, script)
+        """Start an endpoint, register it and wait until all routers know it."""
+        endpoint = ScriptedEndpoint(name, handler)
         await endpoint.start(self.group)
         self.register(endpoint, service, **row)
         for router in self.routers:
@@ -124,20 +123,20 @@
         return endpoint
 
     def register(self, endpoint: ScriptedEndpoint, service: str, **row: object) -> None:
-        """Write an endpoint's row."""
+        """Write the store row of an endpoint, with ``row`` as its fields."""
         entry = EndpointRow(service, endpoint.port, **row)  # type: ignore[arg-type]
         endpoint.state.layers = entry.layers
         value = msgspec.json.encode(entry)
         self.store.put(Table.ENDPOINTS, endpoint.name, value)
 
-    async def wait_until(self, done) -> None:  # noqa: ANN001
-        """Wait until something holds, or fail."""
+    async def wait_until(self, condition) -> None:  # noqa: ANN001
+        """Wait until ``condition`` holds; raise TimeoutError after ``WAIT_S``."""
         with anyio.fail_after(WAIT_S):
-            while not done():
+            while not condition():
                 await anyio.sleep(0.005)
 
     async def connect(self, router: int = 0) -> ClientConnection:
-        """Return a caller's connection."""
+        """Open a connection to a router as a caller."""
         deadline = time.monotonic() + WAIT_S
         return await ClientConnection.open("127.0.0.1", self.ports[router], deadline)
 
@@ -151,7 +150,7 @@
         router: int = 0,
         request_id: str = "r1",
     ) -> Response:
-        """Send one request on a new connection and return the answer."""
+        """Send one request on a new connection and return the response."""
         conn = await self.connect(router)
         try:
             deadline = time.monotonic() + WAIT_S
@@ -169,7 +168,7 @@
     headers: dict[str, str] | None = None,
     request_id: str = "r1",
 ) -> bytes:
-    """Return a caller's request as bytes."""
+    """Encode a request of a caller."""
     pairs = [(b"Host", HOST.encode()), (b"Request-Id", request_id.encode())]
     for key, value in (headers or {}).items():
         pairs.append((key.encode(), value.encode()))
@@ -180,14 +179,14 @@
 async def router_harness(
     routes: list[RouteRow], *, keys: dict[str, str] | None = None, **limits: float
 ) -> AsyncIterator[RouterHarness]:
-    """Run a router until the block ends."""
+    """Run one router until the block ends; ``limits`` are fields of RoutingRow."""
     address, store = new_store()
     async with anyio.create_task_group() as group:
-        made = RouterHarness(group, store, address, routes, keys)
-        made.configure(**limits)
-        await made.add_router()
+        harness = RouterHarness(group, store, address, routes, keys)
+        harness.configure(**limits)
+        await harness.add_router()
         try:
-            yield made
+            yield harness
         finally:
             group.cancel_scope.cancel()
 
--- a/packages/standins/src/hemlockhall_standins/router/network.py
+++ b/packages/standins/src/hemlockhall_standins/router/network.py
@@ -1,4 +1,7 @@
-"""Many hosts in one process, in virtual time, over a network with faults."""
+"""Simulates the membership of many hosts in virtual time.
+
+Datagrams may be delayed, lost or blocked between hosts.
+"""
 
 from __future__ import annotations
 
@@ -20,30 +23,31 @@
     from hemlockhall_router.membership.message import Load, Message
 
 TABLE = "routing"
-# Seconds between two looks of a host at the store.
 STORE_POLL_INTERVAL_S = 0.05
-# Seconds a datagram takes inside a data centre and between two.
-NEAR_S = 0.0002
-FAR_S = 0.0006
+INTRA_DATA_CENTRE_DELAY_S = 0.0002
+INTER_DATA_CENTRE_DELAY_S = 0.0006
 
 
 @dataclass
 class Host:
-    """A host of the network, with a copy of one table.
+    """A host of the network that caches one table of the store.
 
-    ``slow_s`` delays all that it sends; ``loads`` are its requests.
+    ``complete_as_of`` is the time up to which its table holds all changes,
+    ``store_partitioned`` cuts it off from the store, ``slow_s`` delays each
+    datagram that it sends, and ``learned`` holds the time at which it got each
+    version of the table.
     """
 
     name: str
     network: Network
     data_centre: str
     boot: str
-    power: int
+    capacity: int
     version: int = 0
-    confirmed_at: float = float("-inf")
+    complete_as_of: float = float("-inf")
     alive: bool = True
     slow_s: float = 0.0
-    store_cut: bool = False
+    store_partitioned: bool = False
     loads: list[Load] = field(default_factory=list)
     store_unreachable: bool = False
     sent: int = 0
@@ -51,7 +55,7 @@
     learned: dict[int, float] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        own = Contact(self.name, self.name, self.data_centre, self.power, self.boot)
+        own = Contact(self.name, self.name, self.data_centre, self.capacity, self.boot)
         self.exchange = Exchange(
             own,
             self.network.seeds,
@@ -59,65 +63,71 @@
             lambda: LocalState(
                 loads=self.loads, store_unreachable=self.store_unreachable
             ),
-            self._copies,
-            lambda address, message: self.network.post(self, address, message),
+            self._table_versions,
+            lambda address, message: self.network.send_datagram(self, address, message),
             lambda: self.network.now,
         )
 
     def hosts(self) -> int:
-        """Return how many hosts this one believes to be there."""
-        return sum(place.hosts for place in self.exchange.data_centres())
+        """Return the number of live hosts in this one's view, itself included."""
+        return sum(data_centre.hosts for data_centre in self.exchange.data_centres())
 
     def apply(self, version: int) -> None:
-        """Take a newer version of the table."""
+        """Apply a version of the table if it is newer, and tell the peers."""
         if version <= self.version:
             return
         self.version = version
         self.learned.setdefault(version, self.network.now)
         self.exchange.push()
 
-    def _copies(self) -> list[TableVersion]:
-        age_ms = int(min(3600.0, self.network.now - self.confirmed_at) * 1000)
+    def _table_versions(self) -> list[TableVersion]:
+        age_ms = int(min(3600.0, self.network.now - self.complete_as_of) * 1000)
         return [TableVersion(TABLE, self.version, self.version, age_ms)]
 
-    def round(self) -> None:
-        """Tell others what is due, again and again."""
+    def gossip(self) -> None:
+        """Run a gossip round and schedule the next one."""
         if not self.alive:
             return
         self.exchange.run_round()
-        self.network.after(self.network.timing.gossip_interval_s, self.round)
+        self.network.after(self.network.timing.gossip_interval_s, self.gossip)
 
     def poll_store(self) -> None:
-        """Ask the store if this host should, again and again."""
+        """Poll the store as a watcher or with a stale table; schedule the next poll."""
         if not self.alive:
             return
         stale = (
-            self.network.now - self.confirmed_at > self.network.timing.max_staleness_s
+            self.network.now - self.complete_as_of > self.network.timing.max_staleness_s
         )
         if self.exchange.is_store_watcher() or stale:
-            self.store_unreachable = self.store_cut
+            self.store_unreachable = self.store_partitioned
             if not self.store_unreachable:
-                self.confirmed_at = self.network.now
+                self.complete_as_of = self.network.now
                 self.apply(self.network.store_version)
         self.network.after(STORE_POLL_INTERVAL_S, self.poll_store)
 
     def receive(self, message: Message) -> None:
-        """Take a message, and rows from its sender if that has newer ones."""
+        """Process a message; fetch the table if its sender has a newer version."""
         self.exchange.receive(message)
         now = self.network.now
-        for copy in message.table_versions:
-            if copy.last_change <= self.version:
-                at = now - copy.age_ms / 1000
-                self.confirmed_at = max(self.confirmed_at, at)
+        for table_version in message.table_versions:
+            if table_version.last_change <= self.version:
+                at = now - table_version.age_ms / 1000
+                self.complete_as_of = max(self.complete_as_of, at)
                 continue
             sender = message.sender.address
             if self.network.reachable(self.name, sender):
-                version = copy.last_change
-                self.network.after(2 * FAR_S, lambda v=version: self.apply(v))
+                version = table_version.last_change
+                self.network.after(
+                    2 * INTER_DATA_CENTRE_DELAY_S, lambda v=version: self.apply(v)
+                )
 
 
 class Network:
-    """Hosts in data centres; ``lost`` is the part of datagrams that get lost."""
+    """Hosts spread over data centres, and the datagrams between them.
+
+    ``lost`` is the fraction of datagrams that are lost; ``cut`` tells whether a
+    sender cannot reach a receiver.
+    """
 
     def __init__(
         self, hosts: int, data_centres: int, seed: int = 0, *, config_ms: float = 2000.0
@@ -135,43 +145,47 @@
         self.seeds = self.random.sample(names, min(3, hosts))
         self.hosts: dict[str, Host] = {}
         for number, name in enumerate(names):
-            self.start(name, f"place-{number % data_centres}", power=number % 5)
+            self.start(name, f"place-{number % data_centres}", capacity=number % 5)
 
-    def start(self, name: str, place: str, boot: str = "1", power: int = 1) -> Host:
-        """Start a host, or a new run of one."""
-        host = Host(name, self, place, boot, power)
+    def start(
+        self, name: str, data_centre: str, boot: str = "1", capacity: int = 1
+    ) -> Host:
+        """Start a host, or restart one with another ``boot``."""
+        host = Host(name, self, data_centre, boot, capacity)
         self.hosts[name] = host
-        self.after(self.random.uniform(0.0, 0.3), host.round)
+        self.after(self.random.uniform(0.0, 0.3), host.gossip)
         self.after(self.random.uniform(0.0, 0.3), host.poll_store)
         return host
 
     def live(self) -> list[Host]:
-        """Return the hosts that run."""
+        """Return the running hosts."""
         return [host for host in self.hosts.values() if host.alive]
 
     def hubs(self) -> list[Host]:
-        """Return the hosts that take themselves for hubs."""
+        """Return the hosts that consider themselves hubs."""
         return [h for h in self.live() if h.exchange.roster.is_hub(self.now)]
 
-    def after(self, delay_s: float, call: Callable[[], None]) -> None:
-        """Call later."""
-        heapq.heappush(self._events, (self.now + delay_s, next(self._numbers), call))
+    def after(self, delay_s: float, callback: Callable[[], None]) -> None:
+        """Schedule a callback in virtual time."""
+        heapq.heappush(
+            self._events, (self.now + delay_s, next(self._numbers), callback)
+        )
 
     def run(self, seconds: float) -> None:
-        """Let virtual time pass."""
+        """Advance virtual time and run the callbacks that are due."""
         end = self.now + seconds
         while self._events and self._events[0][0] <= end:
-            self.now, _, call = heapq.heappop(self._events)
-            call()
+            self.now, _, callback = heapq.heappop(self._events)
+            callback()
         self.now = end
 
     def reachable(self, sender: str, receiver: str) -> bool:
-        """Return whether a message between two hosts may arrive."""
+        """Return whether the receiver runs and is not cut off from the sender."""
         target = self.hosts.get(receiver)
         return target is not None and target.alive and not self.cut(sender, receiver)
 
-    def post(self, sender: Host, address: str, message: Message) -> None:
-        """Carry a datagram."""
+    def send_datagram(self, sender: Host, address: str, message: Message) -> None:
+        """Send a datagram, which is lost if the receiver cannot be reached."""
         sender.sent += 1
         sender.sent_bytes += len(encode(message))
         if not self.reachable(sender.name, address):
@@ -179,12 +193,14 @@
         if self.random.random() < self.lost:
             return
         target = self.hosts[address]
-        near = target.data_centre == sender.data_centre
-        delay_s = (NEAR_S if near else FAR_S) + sender.slow_s
+        same_data_centre = target.data_centre == sender.data_centre
+        delay_s = (
+            INTRA_DATA_CENTRE_DELAY_S if same_data_centre else INTER_DATA_CENTRE_DELAY_S
+        ) + sender.slow_s
         self.after(delay_s, lambda: target.receive(message) if target.alive else None)
 
     def sent_each(self) -> float:
-        """Return the median number of datagrams that a host sent."""
+        """Return the median number of datagrams sent by a running host."""
         return statistics.median(host.sent for host in self.live())
 
 
--- a/packages/standins/src/hemlockhall_standins/router/pool.py
+++ b/packages/standins/src/hemlockhall_standins/router/pool.py
@@ -1,4 +1,4 @@
-"""Endpoints of a large model, for tests of decisions that need no network."""
+"""Directory with endpoints of a large model, for tests without a network."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def large_model(accelerators: dict[str, Accelerator]) -> Model:
-    """Return a model of 80 layers that no single accelerator holds."""
+    """Return a model of 80 layers, too large for one accelerator."""
     return Model(
         layers=80,
         layer_mb=1750.0,
@@ -37,23 +37,33 @@
 
 
 def service(model: Model) -> Service:
-    """Return the service that runs a model, with places for all tests need."""
+    """Return a service for a model, with enough slots for every test."""
     return Service(SERVICE, "/", 100, slots=500, model=model)
 
 
 def make_directory() -> Directory:
-    """Return a directory that no store changes."""
+    """Return an empty directory that is connected to no store."""
     return Directory(lambda key, value: None, lambda: 0.0, Timing(BoundsSection()))
 
 
 def add_endpoint(
-    known: Directory, name: str, place: str, accelerator: str, layers: LayerRange
+    directory: Directory,
+    name: str,
+    data_centre: str,
+    accelerator: str,
+    layers: LayerRange,
 ) -> EndpointRecord:
-    """Enter an endpoint that holds layers, and return its entry."""
+    """Add an endpoint that holds ``layers`` and return its record."""
     endpoint = Endpoint(
-        name, SERVICE, "10.0.0.1", 1, place, accelerator=accelerator, layers=layers
+        name,
+        SERVICE,
+        "10.0.0.1",
+        1,
+        data_centre,
+        accelerator=accelerator,
+        layers=layers,
     )
-    return known.add(endpoint)
+    return directory.add(endpoint)
 
 
 __all__ = [
--- a/packages/standins/src/hemlockhall_standins/router/store.py
+++ b/packages/standins/src/hemlockhall_standins/router/store.py
@@ -1,4 +1,4 @@
-"""A store in memory, with the faults of a real one."""
+"""In-memory store with faults that tests switch on."""
 
 from __future__ import annotations
 
@@ -20,21 +20,22 @@
     WriteResult,
 )
 
-POLL_S = 0.005
+POLL_INTERVAL_S = 0.005
 
 
 @dataclass
 class MemoryStore(Store):
-    """Tables in memory.
+    """Tables in memory, with one version counter and a history of changes.
 
-    ``down`` refuses every call; ``lose_writes`` counts writes that are done
-    without an answer; ``history_from`` is the version since which changes are
-    kept; ``mute`` lets calls for changes wait without seeing any.
+    ``down`` refuses every call. The next ``lose_writes`` writes take effect but
+    raise as if their response were lost. ``history_from`` is the version since
+    which changes are kept. With ``hide_changes``, long polls for changes time out
+    without any.
     """
 
     down: bool = False
     lose_writes: int = 0
-    mute: bool = False
+    hide_changes: bool = False
     history_from: int = 0
     version: int = 0
     tables: dict[Table, dict[str, Row]] = field(
@@ -44,7 +45,7 @@
     reads: int = 0
 
     def put(self, table: Table, key: str, value: bytes) -> int:
-        """Write a row as the operator or an endpoint does."""
+        """Write a row without a condition; return its version."""
         self.version += 1
         row = Row(key, value, self.version)
         self.tables[table][key] = row
@@ -52,59 +53,61 @@
         return self.version
 
     def remove(self, table: Table, key: str) -> None:
-        """Remove a row."""
+        """Delete a row."""
         self.version += 1
         self.tables[table].pop(key, None)
         self.history.append((table, Row(key, b"", self.version, deleted=True)))
 
-    def forget(self) -> None:
-        """Drop the history."""
+    def compact_history(self) -> None:
+        """Drop the history, as a store does that compacts it."""
         self.history.clear()
         self.history_from = self.version
 
     async def read(self, table: Table, deadline: float) -> ReadResult:
         """Return all rows."""
-        self._check()
+        self._raise_if_down()
         self.reads += 1
         rows = tuple(self.tables[table].values())
         return ReadResult(rows, self.version, time.monotonic())
 
     async def changes(self, table: Table, after: int, wait_s: float) -> ReadResult:
-        """Return the changed rows."""
+        """Return the rows changed after a version; wait for one up to ``wait_s``."""
         deadline = time.monotonic() + wait_s
         while True:
-            self._check()
+            self._raise_if_down()
             if after < self.history_from:
-                raise HistoryCompactedError("forgotten")
+                raise HistoryCompactedError(
+                    f"no changes before version {self.history_from}: read the table"
+                )
             rows = []
             for name, row in self.history:
-                if name is table and row.version > after and not self.mute:
+                if name is table and row.version > after and not self.hide_changes:
                     rows.append(row)
             if rows or time.monotonic() >= deadline:
-                version = after if self.mute else self.version
+                version = after if self.hide_changes else self.version
                 return ReadResult(tuple(rows), version, time.monotonic())
-            await anyio.sleep(POLL_S)
+            await anyio.sleep(POLL_INTERVAL_S)
 
     async def write(
         self, table: Table, key: str, value: bytes, expected: int, deadline: float
     ) -> WriteResult:
-        """Write a row under a condition."""
-        self._check()
-        held = self.tables[table].get(key)
-        if (held.version if held else 0) != expected:
-            raise VersionConflictError(held, time.monotonic())
+        """Write a row if its version is ``expected``, 0 for a new row."""
+        self._raise_if_down()
+        current = self.tables[table].get(key)
+        if (current.version if current else 0) != expected:
+            raise VersionConflictError(current, time.monotonic())
         version = self.put(table, key, value)
         if self.lose_writes:
             self.lose_writes -= 1
-            raise StoreNoAnswerError("the answer was lost")
+            raise StoreNoAnswerError("the response was lost: lose_writes is set")
         return WriteResult(version, time.monotonic())
 
     async def close(self) -> None:
-        """Nothing is open."""
+        """Do nothing: no connection is open."""
 
-    def _check(self) -> None:
+    def _raise_if_down(self) -> None:
         if self.down:
-            raise StoreRefusedError("the store is down")
+            raise StoreRefusedError("the store is down: down is set")
 
 
 __all__ = [
--- a/tests/router/membership/test_exchange.py
+++ b/tests/router/membership/test_exchange.py
@@ -42,7 +42,7 @@
         old = network.hubs()[0]
         old.alive = False
         network.run(CRASH_S)
-        new = network.start(old.name, old.data_centre, boot="2", power=old.power)
+        new = network.start(old.name, old.data_centre, boot="2", capacity=old.capacity)
         network.run(RESTART_S)
         assert new.hosts() == hosts
         assert {host.hosts() for host in network.live()} == {hosts}
@@ -67,7 +67,7 @@
         old.alive = False
         network.run(CRASH_S)
         assert {host.hosts() for host in network.live()} == {399}
-        network.start(old.name, old.data_centre, boot="2", power=old.power)
+        network.start(old.name, old.data_centre, boot="2", capacity=old.capacity)
         network.run(RESTART_S)
         assert {host.hosts() for host in network.live()} == {400}
 
@@ -113,7 +113,7 @@
         network = started(25, 3)
         for host in list(network.hosts.values()):
             host.alive = False
-            network.start(host.name, host.data_centre, boot="2", power=host.power)
+            network.start(host.name, host.data_centre, boot="2", capacity=host.capacity)
         network.run(START_S)
         assert {host.hosts() for host in network.live()} == {25}
 
@@ -144,7 +144,7 @@
         """Guards against hosts that wait for hubs which the store turns away."""
         network = started(25, 3, seed)
         for hub in network.hubs():
-            hub.store_cut = True
+            hub.store_partitioned = True
         network.store_version = 2
         network.run(1.0)
         assert {host.version for host in network.live()} == {2}
--- a/tests/router/test_planner.py
+++ b/tests/router/test_planner.py
@@ -96,11 +96,11 @@
             pool = []
             for number in range(4):
                 pool.append(await harness.start_endpoint(f"p{number}", unused, **EMPTY))
-                pool[-1].late_orders = 1
+                pool[-1].unanswered_orders = 1
             await harness.wait_until(lambda: not missing(pool))
             for endpoint in pool:
-                assert len(endpoint.waiting) == 1
-                endpoint.catch_up()
+                assert len(endpoint.pending_orders) == 1
+                endpoint.apply_pending_orders()
                 assert len(endpoint.orders) == 1
             assert not missing(pool)
 
--- a/tests/router/test_store.py
+++ b/tests/router/test_store.py
@@ -39,10 +39,10 @@
         """The feed shows nothing while a change is made, and then says that
         its history is gone: the table is read anew."""
         async with router_harness(ROUTES) as harness:
-            harness.store.mute = True
+            harness.store.hide_changes = True
             harness.configure()
-            harness.store.forget()
-            harness.store.mute = False
+            harness.store.compact_history()
+            harness.store.hide_changes = False
             await harness.wait_until(lambda: harness.routers[0].routing.version == 2)
 
     async def test_a_host_that_the_store_turns_away_learns_from_another(self) -> None:
