--- a/features/environment.py
+++ b/features/environment.py
@@ -1,4 +1,4 @@
-"""Each scenario gets a deployment of its own, ended afterwards."""
+"""Hooks of behave: each scenario has its own deployment, stopped at its end."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 
 def before_scenario(context: Any, scenario: Any) -> None:
-    """Prepare what a scenario leaves behind."""
+    """Create the stack of what the scenario must clean up."""
     context.stack = ExitStack()
 
 
 def after_scenario(context: Any, scenario: Any) -> None:
-    """Show logs of a failed scenario, and end its processes."""
+    """Print the logs if the scenario failed, and stop its processes."""
     deployment = getattr(context, "deployment", None)
     if deployment is not None and scenario.status.name == "failed":
-        for name in (*deployment.urls, *deployment.nodes):
-            print(f"--- {name}\n{deployment.log(name)[-2000:]}")
+        for name in (*deployment.urls, *deployment.endpoints):
+            print(f"--- {name}\n{deployment.read_log(name)[-2000:]}")
     context.stack.close()
     context.deployment = None
--- a/features/steps/booking.py
+++ b/features/steps/booking.py
@@ -11,77 +11,79 @@
 import httpx
 from behave import given, then, use_step_matcher, when
 
-from hemlockhall_standins.deployment import Deployment, EndpointPlan
+from hemlockhall_standins.deployment import Deployment, EndpointSpec
 from hemlockhall_standins.processes import wait_for
 
 PATH = "/services/booking/bookings"
-COME_BACK = (409, 503)
+RETRY_LATER_STATUSES = (409, 503)
 
 use_step_matcher("parse")
 
 
 @given("a deployment of a booking service with {count:d} endpoints")
 def start(context: Any, count: int) -> None:
-    plans = []
+    specs = []
     for number in range(1, count + 1):
         name = f"loft-{number}"
-        plans.append(EndpointPlan(name, "plain", "attica-1", service="booking"))
-    deployment = Deployment(plans, call_deadline_s=4.0)
+        specs.append(EndpointSpec(name, "plain", "attica-1", service="booking"))
+    deployment = Deployment(specs, call_timeout_s=4.0)
     context.deployment = context.stack.enter_context(deployment)
 
 
 def book(
     deployment: Deployment, what: str, key: str | None, entry: int = 1
 ) -> httpx.Response:
-    """Book once; return the answer."""
+    """Send one booking and return the response."""
     headers = {} if key is None else {"idempotency-key": key}
     with deployment.client(f"entry-{entry}") as client:
         return client.post(PATH, json={"what": what}, headers=headers)
 
 
-def tally(deployment: Deployment, what: str) -> int:
-    """Return how often a booking took effect, over all endpoints."""
+def count_bookings(deployment: Deployment, what: str) -> int:
+    """Return how often a booking took effect at all endpoints together."""
     count = 0
-    for name, node in deployment.nodes.items():
-        if node.plan.service:
+    for name, endpoint in deployment.endpoints.items():
+        if endpoint.spec.service:
             count += deployment.tally(name)["what"].count({"what": what})
     return count
 
 
 @when('"{what}" is booked with key "{key}" at entry host {entry:d}')
 def book_at(context: Any, what: str, key: str, entry: int) -> None:
-    context.before = getattr(context, "answer", None)
-    context.answer = book(context.deployment, what, key, entry)
+    context.before = getattr(context, "response", None)
+    context.response = book(context.deployment, what, key, entry)
 
 
 @when('"{what}" is booked without a key')
 def book_keyless(context: Any, what: str) -> None:
-    context.answer = book(context.deployment, what, None)
+    context.response = book(context.deployment, what, None)
 
 
-@when('"{what}" is booked with key "{key}" until it is taken')
+@when('"{what}" is booked with key "{key}" until it is accepted')
 def book_until(context: Any, what: str, key: str) -> None:
-    book_until_taken(context, what, key, 1)
+    book_until_accepted(context, what, key, 1)
 
 
-@when('"{what}" is booked with key "{key}" at entry host {entry:d} until it is taken')
-def book_until_taken(context: Any, what: str, key: str, entry: int) -> None:
+@when(
+    '"{what}" is booked with key "{key}" at entry host {entry:d} until it is accepted'
+)
+def book_until_accepted(context: Any, what: str, key: str, entry: int) -> None:
     for _ in range(20):
-        context.answer = book(context.deployment, what, key, entry)
-        if context.answer.status_code not in COME_BACK:
+        context.response = book(context.deployment, what, key, entry)
+        if context.response.status_code not in RETRY_LATER_STATUSES:
             break
-        time.sleep(float(context.answer.headers["retry-after"]))
-    assert context.answer.status_code == 201, context.answer.text
+        time.sleep(float(context.response.headers["retry-after"]))
+    assert context.response.status_code == 201, context.response.text
 
 
-@when('"{what}" is booked with key "{key}" until it is taken or in progress')
+@when('"{what}" is booked with key "{key}" until it is accepted or in progress')
 def book_until_known(context: Any, what: str, key: str) -> None:
     for _ in range(20):
-        context.answer = book(context.deployment, what, key)
-        if context.answer.status_code != 503:
+        context.response = book(context.deployment, what, key)
+        if context.response.status_code != 503:
             break
-        time.sleep(float(context.answer.headers["retry-after"]))
-    assert context.answer.status_code in (201, 409), context.answer.text
+        time.sleep(float(context.response.headers["retry-after"]))
+    assert context.response.status_code in (201, 409), context.response.text
 
 
 @when("{count:d} bookings are sent at the same moment, each to both entry hosts")
@@ -94,57 +96,57 @@
         return book(context.deployment, name, f"key-{name}", 1 + number % 2)
 
     with ThreadPoolExecutor(2 * count) as pool:
-        answers = list(pool.map(send, range(2 * count)))
-    context.pairs = [answers[n : n + 2] for n in range(0, 2 * count, 2)]
+        responses = list(pool.map(send, range(2 * count)))
+    context.pairs = [responses[n : n + 2] for n in range(0, 2 * count, 2)]
 
 
-@then("each took effect once and all answers to a key are the same")
+@then("each took effect once and all responses to a key are the same")
 def race_result(context: Any) -> None:
     for number, pair in enumerate(context.pairs):
-        statuses = sorted(answer.status_code for answer in pair)
+        statuses = sorted(response.status_code for response in pair)
         assert statuses in ([201, 201], [201, 409]), [a.text for a in pair]
         if statuses == [201, 201]:
             assert pair[0].content == pair[1].content
-        assert tally(context.deployment, f"b{number}") == 1
+        assert count_bookings(context.deployment, f"b{number}") == 1
 
 
-@given("the table service loses its next {count:d} answers")
-def lose(context: Any, count: int) -> None:
-    context.deployment.fault("table", lose_answers=count)
+@given("the table service loses its next {count:d} responses")
+def lose_responses(context: Any, count: int) -> None:
+    context.deployment.set_faults("table", lose_answers=count)
 
 
-@given("the table service loses its next answer and is down from then on")
-def lose_and_down(context: Any) -> None:
-    context.deployment.fault("table", lose_answers=1, down_after_loss=True)
+@given("the table service loses its next response and is down from then on")
+def lose_response_and_go_down(context: Any) -> None:
+    context.deployment.set_faults("table", lose_answers=1, down_after_loss=True)
 
 
 @when("the table service is up again")
 def table_up(context: Any) -> None:
-    context.deployment.fault("table", down=False, down_after_loss=False)
+    context.deployment.set_faults("table", down=False, down_after_loss=False)
 
 
-@given("the table service takes {seconds:g} seconds for an answer")
+@given("the table service takes {seconds:g} seconds for a response")
 def table_slow(context: Any, seconds: float) -> None:
-    context.deployment.fault("table", delay_s=seconds)
+    context.deployment.set_faults("table", delay_s=seconds)
 
 
-@when("the table service answers at once again")
+@when("the table service responds at once again")
 def table_fast(context: Any) -> None:
-    context.deployment.fault("table", delay_s=0.0)
+    context.deployment.set_faults("table", delay_s=0.0)
 
 
-@given("the service takes {seconds:g} seconds for an answer")
+@given("the service takes {seconds:g} seconds for a response")
 def service_slow(context: Any, seconds: float) -> None:
-    for name in context.deployment.nodes:
-        context.deployment.fault(name, answer_delay_s=seconds)
+    for name in context.deployment.endpoints:
+        context.deployment.set_faults(name, answer_delay_s=seconds)
 
 
-def send_and(context: Any, what: str, key: str, act: Any) -> None:
-    """Book in a thread, and act once a side process has the booking."""
+def act_during_booking(context: Any, what: str, key: str, act: Any) -> None:
+    """Book in a thread; call ``act`` once a side process has the booking in flight."""
     deployment: Deployment = context.deployment
 
     def holder() -> str:
-        for name in deployment.nodes:
+        for name in deployment.endpoints:
             if deployment.status(name)["in_flight"]:
                 return name
         return ""
@@ -154,14 +156,14 @@
         context.holder = wait_for(holder, "a side process with the booking")
         act()
         try:
-            context.answer = fut.result()
+            context.response = fut.result()
         except httpx.HTTPError as exc:
-            context.cut = exc
+            context.stream_error = exc
 
 
 def started(deployment: Deployment, what: str) -> bool:
-    """Return whether the service has begun a booking."""
-    return tally(deployment, what) > 0
+    """Return whether the booking has taken effect at the service."""
+    return count_bookings(deployment, what) > 0
 
 
 @when('"{what}" is sent with key "{key}" and the side process that has it is killed')
@@ -170,20 +172,20 @@
         wait_for(lambda: started(context.deployment, what), "the booking to begin")
         context.deployment.kill(context.holder)
 
-    send_and(context, what, key, act)
+    act_during_booking(context, what, key, act)
 
 
 @when('"{what}" is sent with key "{key}" and the side process that has it is frozen')
 def freeze_holder(context: Any, what: str, key: str) -> None:
     def act() -> None:
-        context.deployment.signal(context.holder, signal.SIGSTOP)
+        context.deployment.send_signal(context.holder, signal.SIGSTOP)
 
-    send_and(context, what, key, act)
+    act_during_booking(context, what, key, act)
 
 
 @when("the frozen side process is resumed")
 def resume_holder(context: Any) -> None:
-    context.deployment.signal(context.holder, signal.SIGCONT)
+    context.deployment.send_signal(context.holder, signal.SIGCONT)
 
 
 @when('"{what}" is sent with key "{key}" and entry host {entry:d} is killed')
@@ -191,7 +193,7 @@
     def act() -> None:
         context.deployment.kill(f"entry-{entry}")
 
-    send_and(context, what, key, act)
+    act_during_booking(context, what, key, act)
 
 
 @when("the side process is replaced")
@@ -199,38 +201,38 @@
     context.deployment.start_side(context.holder)
 
 
-@then("the answer has status {status:d}")
+@then("the response has status {status:d}")
 def has_status(context: Any, status: int) -> None:
-    answer = context.answer
-    assert answer.status_code == status, f"{answer.status_code} {answer.text}"
+    response = context.response
+    assert response.status_code == status, f"{response.status_code} {response.text}"
 
 
-@then("it is the same answer as before")
+@then("it is the same response as before")
 def same_as_before(context: Any) -> None:
-    assert context.answer.status_code == context.before.status_code
-    assert context.answer.content == context.before.content
+    assert context.response.status_code == context.before.status_code
+    assert context.response.content == context.before.content
 
 
 @then('the refusal is {reason} with ran "{ran}"')
 def is_refusal(context: Any, reason: str, ran: str) -> None:
-    answer = context.answer
-    assert answer.headers["content-type"] == "application/problem+json", answer.text
-    body = answer.json()
+    response = context.response
+    assert response.headers["content-type"] == "application/problem+json", response.text
+    body = response.json()
     assert (body["reason"], body["ran"]) == (reason, ran), body
 
 
-@then("it says when to come back")
-def says_when(context: Any) -> None:
-    assert float(context.answer.headers["retry-after"]) > 0
+@then("it has a Retry-After")
+def has_retry_after(context: Any) -> None:
+    assert float(context.response.headers["retry-after"]) > 0
 
 
 @then('the tally of "{what}" is {count:d}')
 def tally_is(context: Any, what: str, count: int) -> None:
-    found = tally(context.deployment, what)
+    found = count_bookings(context.deployment, what)
     assert found == count, f"{what} took effect {found} times"
 
 
 @then('the tally of "{what}" is at most {count:d}')
 def tally_at_most(context: Any, what: str, count: int) -> None:
-    found = tally(context.deployment, what)
+    found = count_bookings(context.deployment, what)
     assert found <= count, f"{what} took effect {found} times"
--- a/features/steps/document.py
+++ b/features/steps/document.py
@@ -9,13 +9,13 @@
 
 from behave import given, then, when
 
-from hemlockhall_standins.caller import ask, read_stream
+from hemlockhall_standins.caller import chat_body, read_stream
 from hemlockhall_standins.deployment import Deployment
 from hemlockhall_standins.processes import wait_for
 
 
 def customer(name: str) -> str:
-    """Return the text of one more customer."""
+    """Return the TOML section of a customer."""
     hashed = hashlib.sha256(name.encode()).hexdigest()
     return (
         f'[customers.{name}]\nkey_sha256 = "{hashed}"\npriority = "normal"\n'
@@ -24,7 +24,7 @@
 
 
 def submit(context: Any, text: str, base: int) -> None:
-    """Submit a text; keep what the command said."""
+    """Submit a document and keep the result of the command."""
     context.submitted = context.deployment.submit(text, "--base", str(base))
 
 
@@ -36,16 +36,16 @@
 
 @when('an operator adds customer "{name}" and the store goes down at once')
 def add_then_down(context: Any, name: str) -> None:
-    context.deployment.fault("table", down_after_write=True)
+    context.deployment.set_faults("table", down_after_write=True)
     add_customer(context, name)
 
 
 @given("the table service shows readers the rows as they are now")
 def stale(context: Any) -> None:
-    context.deployment.fault("table", stale=True)
+    context.deployment.set_faults("table", stale=True)
 
 
-@when('an operator adds customer "{name}" at the version before')
+@when('an operator adds customer "{name}" based on the version before')
 def add_stale(context: Any, name: str) -> None:
     add_customer(context, name)
 
@@ -57,8 +57,8 @@
 
 @when("the store goes down")
 def store_down(context: Any) -> None:
-    context.deployment.fault("table", down=True)
-    context.deployment.fault("objects", down=True)
+    context.deployment.set_faults("table", down=True)
+    context.deployment.set_faults("objects", down=True)
 
 
 @when("entry host {number:d} is killed and replaced")
@@ -71,12 +71,12 @@
 
 @when('"{name}" is frozen')
 def freeze(context: Any, name: str) -> None:
-    context.deployment.signal(name, signal.SIGSTOP)
+    context.deployment.send_signal(name, signal.SIGSTOP)
 
 
 @when('"{name}" is resumed')
 def resume(context: Any, name: str) -> None:
-    context.deployment.signal(name, signal.SIGCONT)
+    context.deployment.send_signal(name, signal.SIGCONT)
 
 
 @when('team "{team}" submits an edit of "{section}" from version {base:d}')
@@ -96,17 +96,17 @@
 
 @then("the submission is refused and shows both sides")
 def refused(context: Any) -> None:
-    told = context.submitted.stderr
+    stderr = context.submitted.stderr
     assert context.submitted.returncode != 0
-    assert "customers changed" in told or "customers" in told, told
-    assert "-[customers.one]" in told, told
-    assert "+[customers.three]" in told, told
+    assert "customers changed" in stderr or "customers" in stderr, stderr
+    assert "-[customers.one]" in stderr, stderr
+    assert "+[customers.three]" in stderr, stderr
 
 
 @then("version {version:d} is in force at every process")
 def in_force(context: Any, version: int) -> None:
     deployment: Deployment = context.deployment
-    names = (*deployment.urls, *deployment.nodes)
+    names = (*deployment.urls, *deployment.endpoints)
 
     def everywhere() -> bool:
         return all(deployment.status(n)["version"] == version for n in names)
@@ -116,19 +116,19 @@
 
 @then('"{command}" prints "{text}"')
 def prints(context: Any, command: str, text: str) -> None:
-    ran = context.deployment.cli(*command.split())
-    assert ran.returncode == 0, ran.stderr
-    assert text in ran.stdout, ran.stdout
+    completed = context.deployment.cli(*command.split())
+    assert completed.returncode == 0, completed.stderr
+    assert text in completed.stdout, completed.stdout
 
 
 @then('"{command}" prints {count:d} lines')
 def prints_lines(context: Any, command: str, count: int) -> None:
-    ran = context.deployment.cli(*command.split())
-    assert len(ran.stdout.splitlines()) == count, ran.stdout
+    completed = context.deployment.cli(*command.split())
+    assert len(completed.stdout.splitlines()) == count, completed.stdout
 
 
-@then("an answer of {count:d} tokens streams from entry host {number:d}")
+@then("a response of {count:d} tokens streams from entry host {number:d}")
 def streams(context: Any, count: int, number: int) -> None:
     with context.deployment.client(f"entry-{number}") as client:
-        streamed = read_stream(client, ask("Recital notice", count, stream=True))
-    assert streamed.done, streamed.error
+        result = read_stream(client, chat_body("Recital notice", count, stream=True))
+    assert result.done, result.error
--- a/features/steps/link.py
+++ b/features/steps/link.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from behave import given, then, when
-from booking import send_and, started
+from booking import act_during_booking, started
 from common import stream_with
 
 from hemlockhall_standins.deployment import Deployment, two_pipelines
@@ -19,21 +19,21 @@
 
 
 def silence_all(deployment: Deployment) -> None:
-    """Make every open connection behind a path silent for good."""
+    """Black-hole all open connections of the proxied processes."""
     for name in deployment.proxied:
         silent = deployment.silence(name)
         assert silent > 0, f"no connection to {name} was open"
 
 
 @when(
-    "the same answer is streamed and at token {at:d} connections to {names} go silent"
+    "the same response is streamed and at token {at:d} connections to {names} go silent"
 )
 def silence_at(context: Any, at: int, names: str) -> None:
     stream_with(context, {at: lambda: silence_all(context.deployment)})
 
 
 @when(
-    "the same answer is streamed and at tokens {a:d} and {b:d} all connections "
+    "the same response is streamed and at tokens {a:d} and {b:d} all connections "
     "go silent"
 )
 def silence_twice(context: Any, a: int, b: int) -> None:
@@ -44,20 +44,20 @@
 
 
 @when(
-    "the same answer is streamed and at token {at:d} each chunk to {names} takes "
+    "the same response is streamed and at token {at:d} each chunk to {names} takes "
     "{seconds:g} seconds"
 )
 def slow_at(context: Any, at: int, names: str, seconds: float) -> None:
     def act() -> None:
         for name in names.split():
-            context.deployment.fault(f"{name}/link", chunk_delay_s=seconds)
+            context.deployment.set_faults(f"{name}/link", chunk_delay_s=seconds)
 
     stream_with(context, {at: act})
 
 
-@given("the booking service takes {seconds:g} seconds for an answer")
+@given("the booking service takes {seconds:g} seconds for a response")
 def slow_service(context: Any, seconds: float) -> None:
-    context.deployment.fault("loft-1", answer_delay_s=seconds)
+    context.deployment.set_faults("loft-1", answer_delay_s=seconds)
 
 
 @when('"{what}" is sent with key "{key}" and all connections go silent')
@@ -66,18 +66,18 @@
         wait_for(lambda: started(context.deployment, what), "the booking to begin")
         silence_all(context.deployment)
 
-    send_and(context, what, key, act)
+    act_during_booking(context, what, key, act)
 
 
-@then("the first attempt was not given up")
-def one_attempt(context: Any) -> None:
+@then("there was no second attempt")
+def no_second_attempt(context: Any) -> None:
     deployment: Deployment = context.deployment
-    for name, node in deployment.nodes.items():
-        if node.plan.service:
+    for name, endpoint in deployment.endpoints.items():
+        if endpoint.spec.service:
             continue
         attempts = {step[1] for step in deployment.tally(name)["steps"]}
         assert attempts <= {1}, f"{name} ran attempts {sorted(attempts)}"
     renewed = 0.0
-    for name in (*deployment.urls, *deployment.nodes):
+    for name in (*deployment.urls, *deployment.endpoints):
         renewed += deployment.counter(name, "batches", "renewed")
     assert renewed > 0, "no connection was renewed"
--- a/features/steps/pipeline.py
+++ b/features/steps/pipeline.py
@@ -1,4 +1,4 @@
-"""Steps of the pipeline feature alone."""
+"""Steps of the pipeline feature."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 from typing import Any
 
 from behave import given, then, when
-from common import PROMPT, stream_with, used
+from common import PROMPT, endpoint_in_use, stream_with
 
-from hemlockhall_standins.caller import ask, read_stream
+from hemlockhall_standins.caller import chat_body, read_stream
 from hemlockhall_standins.deployment import Deployment, two_pipelines
 from hemlockhall_standins.processes import wait_for
 
@@ -21,39 +21,40 @@
 
 
 @when(
-    "the same answer is streamed and at token {at:d} stages {a:d} and {b:d} are killed"
+    "the same response is streamed and at token {at:d} stages {a:d} and {b:d} are "
+    "killed"
 )
 def kill_two(context: Any, at: int, a: int, b: int) -> None:
     deployment: Deployment = context.deployment
 
     def act() -> None:
-        for victim in [used(deployment, stage) for stage in (a, b)]:
-            deployment.kill(victim)
+        for failed_endpoint in [endpoint_in_use(deployment, stage) for stage in (a, b)]:
+            deployment.kill(failed_endpoint)
 
     stream_with(context, {at: act})
 
 
 @when(
-    "the same answer is streamed and at token {at:d} stage {a:d} is killed and stage "
+    "the same response is streamed and at token {at:d} stage {a:d} is killed and stage "
     "{b:d} frozen"
 )
 def kill_and_freeze(context: Any, at: int, a: int, b: int) -> None:
     deployment: Deployment = context.deployment
 
     def act() -> None:
-        killed, frozen = used(deployment, a), used(deployment, b)
-        deployment.signal(frozen, signal.SIGSTOP)
+        killed, frozen = endpoint_in_use(deployment, a), endpoint_in_use(deployment, b)
+        deployment.send_signal(frozen, signal.SIGSTOP)
         deployment.kill(killed)
 
     stream_with(context, {at: act})
 
 
-@when("the same answer is asked for and stage {stage:d} is killed in prefill")
+@when("the same response is asked for and stage {stage:d} is killed in prefill")
 def kill_in_prefill(context: Any, stage: int) -> None:
     deployment: Deployment = context.deployment
     names = [f"{row}{stage}" for row in "ab"]
     for name in names:
-        deployment.fault(name, step_s=1.0)
+        deployment.set_faults(name, step_s=1.0)
 
     def at_stage() -> str:
         for name in names:
@@ -63,18 +64,18 @@
 
     with ThreadPoolExecutor(1) as pool:
         fut = pool.submit(stream_with, context, {})
-        victim = wait_for(at_stage, "the prompt at the stage")
-        deployment.kill(victim)
+        failed_endpoint = wait_for(at_stage, "the prompt at the stage")
+        deployment.kill(failed_endpoint)
         for name in names:
-            deployment.fault(name, step_s=0.005)
+            deployment.set_faults(name, step_s=0.005)
         fut.result()
 
 
 @then("the surviving engines ran at most {count:d} positions again")
 def recomputed(context: Any, count: int) -> None:
     deployment: Deployment = context.deployment
-    for name, node in deployment.nodes.items():
-        if node.plan.service or name == context.victim:
+    for name, endpoint in deployment.endpoints.items():
+        if endpoint.spec.service or name == context.failed_endpoint:
             continue
         seen: dict[str, list[int]] = {}
         for request, _, position, _, _ in deployment.tally(name)["steps"]:
@@ -86,18 +87,18 @@
 
 @when("the frozen process is resumed")
 def resume(context: Any) -> None:
-    context.deployment.signal(context.victim, signal.SIGCONT)
+    context.deployment.send_signal(context.failed_endpoint, signal.SIGCONT)
 
 
 @when("the killed side process is replaced")
 def replace(context: Any) -> None:
-    context.deployment.start_side(context.victim)
+    context.deployment.start_side(context.failed_endpoint)
 
 
-@then("an answer streamed now is whole and the same")
-def again(context: Any) -> None:
+@then("a response streamed now is complete and unchanged")
+def stream_again(context: Any) -> None:
     with context.deployment.client() as client:
-        body = ask(PROMPT, context.calm.tokens, stream=True)
-        streamed = read_stream(client, body)
-    assert streamed.done
-    assert streamed.text == context.calm.text
+        body = chat_body(PROMPT, context.baseline.tokens, stream=True)
+        result = read_stream(client, body)
+    assert result.done
+    assert result.text == context.baseline.text
--- a/packages/standins/src/hemlockhall_standins/__init__.py
+++ b/packages/standins/src/hemlockhall_standins/__init__.py
@@ -1,3 +1,3 @@
-"""Stand-ins for the platform and the back ends, for tests and benches."""
+"""Simulated platform services and back ends, for demos, tests and benchmarks."""
 
 from __future__ import annotations
--- a/packages/standins/src/hemlockhall_standins/bench/__init__.py
+++ b/packages/standins/src/hemlockhall_standins/bench/__init__.py
@@ -1,3 +1,3 @@
-"""Benches: each alternates the naive version with ours in one run."""
+"""Benchmarks; those with a naive variant alternate it with the normal one."""
 
 from __future__ import annotations
--- a/packages/standins/src/hemlockhall_standins/bench/report.py
+++ b/packages/standins/src/hemlockhall_standins/bench/report.py
@@ -1,4 +1,4 @@
-"""How benches show their results: one JSON object as the last line."""
+"""Output of the benchmarks: one JSON object as the last line."""
 
 from __future__ import annotations
 
@@ -9,30 +9,30 @@
 
 
 @dataclass
-class Spread:
-    """Median and worst of several trials, in seconds."""
+class TrialSummary:
+    """Median and maximum of the times of several trials."""
 
     median_s: float
     worst_s: float
     trials: int
 
 
-def spread(values: list[float]) -> Spread:
-    """Return the spread of a list of times."""
+def summarize(values: list[float]) -> TrialSummary:
+    """Summarize times in seconds; zeros if there are none."""
     if not values:
-        return Spread(0.0, 0.0, 0)
-    return Spread(
+        return TrialSummary(0.0, 0.0, 0)
+    return TrialSummary(
         round(statistics.median(values), 3), round(max(values), 3), len(values)
     )
 
 
-def last_line(result: Any) -> None:
-    """Print a result data class as one JSON object."""
+def print_result(result: Any) -> None:
+    """Print a dataclass as one JSON object."""
     print(json.dumps(asdict(result)), flush=True)
 
 
 __all__ = [
-    "Spread",
-    "last_line",
-    "spread",
+    "TrialSummary",
+    "print_result",
+    "summarize",
 ]
--- a/packages/standins/src/hemlockhall_standins/bench/sweep.py
+++ b/packages/standins/src/hemlockhall_standins/bench/sweep.py
@@ -1,7 +1,7 @@
-"""The users' sweep on some deployments, judged against the gate of a landing.
+"""Runs the sweep of an external benchmark and checks it against the merge gate.
 
-The users' bench plays one day at growing numbers of machines and leaves an entry in
-its journal; the judgement is made from that entry.
+The benchmark simulates a day with increasing numbers of machines and writes an entry
+to its journal, which is checked here.
 """
 
 from __future__ import annotations
@@ -16,15 +16,18 @@
 import msgspec
 
 JOURNAL = Path("journal")
-SMALL = "sweep-30"
-LARGE = "sweep-300"
-# Part of what the small day serves that the large one has to serve.
-SERVED_PART = 0.7
+SMALL_DAY = "sweep-30"
+LARGE_DAY = "sweep-300"
+# Fraction of the small day's ``served`` that the large day must reach.
+MIN_SERVED_FRACTION = 0.7
 
 
 @dataclass(slots=True, frozen=True)
-class Day:
-    """One day of a sweep; ``rules`` counts the broken rules by name."""
+class SweepDay:
+    """Result of a simulated day; ``rules`` counts the broken rules by name.
+
+    ``served`` is the served share of the load of the day.
+    """
 
     name: str
     served: float
@@ -32,40 +35,46 @@
     fault: str | None = None
 
 
-def days(entry: bytes) -> list[Day]:
-    """Return the days in an entry of the journal."""
+def parse_days(entry: bytes) -> list[SweepDay]:
+    """Parse the days of a journal entry (JSON)."""
     raw = msgspec.json.decode(entry)
-    found = []
+    parsed = []
     for day in raw.get("days") or ():
         rules, fault = day.get("rules") or {}, day.get("fault")
-        found.append(Day(day["name"], float(day.get("served") or 0.0), rules, fault))
-    return found
+        parsed.append(
+            SweepDay(day["name"], float(day.get("served") or 0.0), rules, fault)
+        )
+    return parsed
 
 
-def problems(played: list[Day]) -> list[str]:
-    """Return why a sweep does not pass the gate; nothing if it does."""
-    found = []
-    by_name = {day.name: day for day in played}
-    for day in played:
+def gate_violations(sweep_days: list[SweepDay]) -> list[str]:
+    """Return the reasons why a sweep fails the gate, none if it passes."""
+    violations = []
+    by_name = {day.name: day for day in sweep_days}
+    for day in sweep_days:
         if day.rules:
-            found.append(f"{day.name}: rules broken: {', '.join(sorted(day.rules))}")
+            violations.append(
+                f"{day.name}: rules broken: {', '.join(sorted(day.rules))}"
+            )
         if day.fault:
-            found.append(f"{day.name}: {day.fault}")
-    for name in (SMALL, LARGE):
+            violations.append(f"{day.name}: {day.fault}")
+    for name in (SMALL_DAY, LARGE_DAY):
         if name not in by_name:
-            found.append(f"{name}: not played")
-    if SMALL in by_name and LARGE in by_name:
-        least = SERVED_PART * by_name[SMALL].served
-        if by_name[LARGE].served < least:
-            served = by_name[LARGE].served
-            found.append(f"{LARGE}: served {served:.3f}, the gate asks for {least:.3f}")
-    return found
+            violations.append(f"{name}: not played")
+    if SMALL_DAY in by_name and LARGE_DAY in by_name:
+        min_served = MIN_SERVED_FRACTION * by_name[SMALL_DAY].served
+        if by_name[LARGE_DAY].served < min_served:
+            served = by_name[LARGE_DAY].served
+            violations.append(
+                f"{LARGE_DAY}: served {served:.3f}, the gate asks for {min_served:.3f}"
+            )
+    return violations
 
 
-def newest_entry(known: set[Path]) -> Path | None:
-    """Return the entry that a run has left beside the known ones."""
-    fresh = sorted(set(JOURNAL.glob("*.json")) - known)
-    return fresh[-1] if fresh else None
+def newest_entry(known_entries: set[Path]) -> Path | None:
+    """Return the newest journal entry that is not among the known ones."""
+    new_entries = sorted(set(JOURNAL.glob("*.json")) - known_entries)
+    return new_entries[-1] if new_entries else None
 
 
 @click.command()
@@ -74,19 +83,19 @@
 @click.option("--why", default="gate of a landing", help="Line for the journal.")
 @click.option("--jobs", default=4, help="Cores to use.")
 def main(bench: str, sites: tuple[str, ...], why: str, jobs: int) -> None:
-    """Play a sweep on each of SITES with BENCH; fail where the gate fails."""
+    """Run a sweep with BENCH on each of SITES; exit with 1 if one fails the gate."""
     failed = False
     for site in sites:
-        known = set(JOURNAL.glob("*.json"))
+        known_entries = set(JOURNAL.glob("*.json"))
         command = [bench, "sweep", site, "--most", "300", "--jobs", str(jobs)]
         subprocess.run([*command, "--why", why], check=False)  # noqa: S603
-        entry = newest_entry(known)
-        found = ["no entry in the journal"]
+        entry = newest_entry(known_entries)
+        violations = ["no entry in the journal"]
         if entry is not None:
-            found = problems(days(entry.read_bytes()))
-        for problem in found:
-            click.echo(f"{site}: {problem}")
-        failed = failed or bool(found)
+            violations = gate_violations(parse_days(entry.read_bytes()))
+        for violation in violations:
+            click.echo(f"{site}: {violation}")
+        failed = failed or bool(violations)
     sys.exit(1 if failed else 0)
 
 
@@ -95,8 +104,8 @@
 
 
 __all__ = [
-    "Day",
-    "days",
+    "SweepDay",
+    "parse_days",
     "newest_entry",
-    "problems",
+    "gate_violations",
 ]
--- a/packages/standins/src/hemlockhall_standins/caller.py
+++ b/packages/standins/src/hemlockhall_standins/caller.py
@@ -1,4 +1,4 @@
-"""A caller of the system, as demos, tests and benches need one."""
+"""Request bodies and response readers of a caller, for demos, tests and benchmarks."""
 
 from __future__ import annotations
 
@@ -14,26 +14,27 @@
 
     import httpx
 
-CHAT = "/v1/chat/completions"
-COMPLETIONS = "/v1/completions"
+CHAT_PATH = "/v1/chat/completions"
+COMPLETIONS_PATH = "/v1/completions"
 
 
 @dataclass
-class Streamed:
-    """A streamed answer: its text, and whether it ended as it should.
+class StreamResult:
+    """A response as far as it was received.
 
-    ``arrivals`` holds the time of each token, ``error`` the refusal that
-    ended the stream.
+    ``done`` is set if it is complete. ``error`` is the refusal that came instead of
+    a response or ended the stream. ``token_times`` holds the ``time.monotonic()``
+    of each streamed token.
     """
 
     text: str = ""
     tokens: int = 0
     done: bool = False
     error: dict[str, Any] | None = None
-    arrivals: list[float] = field(default_factory=list)
+    token_times: list[float] = field(default_factory=list)
 
 
-def ask(
+def chat_body(
     prompt: str, tokens: int, *, stream: bool, model: str = MODEL
 ) -> dict[str, Any]:
     """Return the body of a chat request."""
@@ -46,87 +47,87 @@
     }
 
 
-def complete(prompt: str, tokens: int) -> dict[str, Any]:
+def completion_body(prompt: str, tokens: int) -> dict[str, Any]:
     """Return the body of a streamed plain completion."""
     return {"model": MODEL, "prompt": prompt, "max_tokens": tokens, "stream": True}
 
 
 def prompt_text(prompt: str) -> str:
-    """Return what the model gets of a chat with one message."""
+    """Return the prompt that the model gets for a chat with one message."""
     return f"user: {prompt}\nassistant:"
 
 
-async def read_stream_async(
+async def read_response_async(
     client: httpx.AsyncClient,
     url: str,
     body: dict[str, Any],
     on_event: Callable[[], None] | None = None,
-    path: str = CHAT,
-) -> Streamed:
-    """Return an answer, streamed or whole as the body asks for it.
+    path: str = CHAT_PATH,
+) -> StreamResult:
+    """Send a request and return its response, streamed if the body says so.
 
-    ``on_event`` is called for each streamed token as it comes.
+    ``on_event`` is called for each streamed token when it arrives.
     """
-    streamed = Streamed()
+    result = StreamResult()
     async with client.stream("POST", url + path, json=body) as response:
         if response.status_code != 200:
-            streamed.error = json.loads(await response.aread())
+            result.error = json.loads(await response.aread())
         elif not body["stream"]:
-            answer = json.loads(await response.aread())
-            streamed.text = answer["choices"][0]["message"]["content"]
-            streamed.tokens = answer["usage"]["completion_tokens"]
-            streamed.done = True
+            response_body = json.loads(await response.aread())
+            result.text = response_body["choices"][0]["message"]["content"]
+            result.tokens = response_body["usage"]["completion_tokens"]
+            result.done = True
         else:
             async for line in response.aiter_lines():
                 if line.startswith("data: "):
-                    _take(streamed, line.removeprefix("data: "))
-                    if on_event is not None and not streamed.done:
+                    _add_event(result, line.removeprefix("data: "))
+                    if on_event is not None and not result.done:
                         on_event()
-    return streamed
+    return result
 
 
 def read_stream(
     client: httpx.Client,
     body: dict[str, Any],
-    at: dict[int, Callable[[], None]] | None = None,
-) -> Streamed:
-    """Stream an answer; call ``at[n]`` when token ``n`` has come."""
-    streamed = Streamed()
-    with client.stream("POST", CHAT, json=body) as response:
+    actions: dict[int, Callable[[], None]] | None = None,
+) -> StreamResult:
+    """Stream a response; call ``actions[n]`` when token ``n`` has arrived."""
+    result = StreamResult()
+    with client.stream("POST", CHAT_PATH, json=body) as response:
         if response.status_code != 200:
-            streamed.error = json.loads(response.read())
-            return streamed
+            result.error = json.loads(response.read())
+            return result
         for line in response.iter_lines():
             if not line.startswith("data: "):
                 continue
-            _take(streamed, line.removeprefix("data: "))
-            action = (at or {}).get(streamed.tokens)
-            if action is not None and not streamed.done:
+            _add_event(result, line.removeprefix("data: "))
+            action = (actions or {}).get(result.tokens)
+            if action is not None and not result.done:
                 action()
-    return streamed
+    return result
 
 
-def _take(streamed: Streamed, data: str) -> None:
+def _add_event(result: StreamResult, data: str) -> None:
     if data == "[DONE]":
-        streamed.done = True
+        result.done = True
         return
     event = json.loads(data)
     if "error" in event:
-        streamed.error = event["error"]
+        result.error = event["error"]
         return
     choice = event["choices"][0]
-    streamed.text += choice["delta"]["content"] if "delta" in choice else choice["text"]
-    streamed.tokens += 1
-    streamed.arrivals.append(time.monotonic())
+    result.text += choice["delta"]["content"] if "delta" in choice else choice["text"]
+    result.tokens += 1
+    result.token_times.append(time.monotonic())
 
 
 __all__ = [
-    "CHAT",
-    "COMPLETIONS",
-    "Streamed",
-    "ask",
-    "complete",
+    "CHAT_PATH",
+    "COMPLETIONS_PATH",
+    "StreamResult",
+    "chat_body",
+    "completion_body",
     "prompt_text",
     "read_stream",
-    "read_stream_async",
+    "read_response_async",
 ]
--- a/packages/standins/src/hemlockhall_standins/deployment.py
+++ b/packages/standins/src/hemlockhall_standins/deployment.py
@@ -1,6 +1,6 @@
-"""A deployment on this machine: stand-ins and the system as processes.
+"""Runs a deployment on this machine: stand-ins and the system as processes.
 
-Only demos, tests and benches use it; the system itself starts no process.
+Only demos, tests and benchmarks use it; the system itself starts no processes.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 import httpx
 
-from hemlockhall_standins.processes import Platform, Processes, answers, wait_for
+from hemlockhall_standins.processes import Platform, Processes, responds_ok, wait_for
 
 API_KEY = "organ-loft"
 MODEL = "organ-12b"
@@ -22,23 +22,32 @@
 
 
 @dataclass
-class EndpointPlan:
-    """An endpoint to be started: an engine with layers, or a service."""
+class EndpointSpec:
+    """An endpoint to start: an engine with layers, or a plain service.
+
+    An engine holds the layers from ``first_layer`` up to ``end_layer``, exclusive;
+    ``speed`` divides its simulated time per token and layer. A plain service has a
+    name in ``service``.
+    """
 
     name: str
     kind: str
     data_centre: str
-    first: int = 0
-    last: int = 0
+    first_layer: int = 0
+    end_layer: int = 0
     service: str = ""
     speed: float = 1.0
 
 
 @dataclass
-class Node:
-    """An endpoint's addresses and its two processes."""
+class EndpointSetup:
+    """Addresses (IP:port) of an endpoint, and the settings file of its side process.
+
+    ``link`` is the advertised address of the side process, ``admin`` that of its
+    administration, ``back_end`` that of the engine or service.
+    """
 
-    plan: EndpointPlan
+    spec: EndpointSpec
     link: str
     back_end: str
     admin: str
@@ -51,29 +60,41 @@
 
     Parameters
     ----------
-    plans : list of EndpointPlan
+    specs : list of EndpointSpec
         The endpoints.
-    entries : int
-        Number of entry hosts.
+    entry_count : int
+        Number of entry hosts, named ``entry-1`` and so on.
+    step_s, token_layer_s : float
+        Simulated time of an engine's step, and for each token and layer in it.
+    extra_model_lines : str
+        Further TOML lines of the model in the document.
+    call_timeout_s : float
+        Timeout of calls to the booking service.
+    rate_per_s : int
+        Rate limit of the customer.
+    proxied : tuple of str
+        Endpoints and entry hosts that others reach through a ``TcpProxy``.
+    retain_bytes, leave_notice_s, refused_s, chooser, step_timeout_s
+        Settings of the processes under these names.
     """
 
-    plans: list[EndpointPlan]
-    entries: int = 2
+    specs: list[EndpointSpec]
+    entry_count: int = 2
     step_s: float = 0.005
     token_layer_s: float = 0.0
-    model_lines: str = ""
-    call_deadline_s: float = 10.0
+    extra_model_lines: str = ""
+    call_timeout_s: float = 10.0
     retain_bytes: int = 8_388_608
     leave_notice_s: float = 0.3
-    rate: int = 10_000
+    rate_per_s: int = 10_000
     proxied: tuple[str, ...] = ()
     refused_s: float = 0.25
     chooser: str = "weighted"
     step_timeout_s: float = 2.0
-    nodes: dict[str, Node] = field(default_factory=dict)
+    endpoints: dict[str, EndpointSetup] = field(default_factory=dict)
     urls: dict[str, str] = field(default_factory=dict)
     admin_urls: dict[str, str] = field(default_factory=dict)
-    _links: dict[str, str] = field(default_factory=dict)
+    _link_addresses: dict[str, str] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         super().__init__()
@@ -89,58 +110,61 @@
         return self
 
     def __exit__(self, *args: object) -> None:
-        """Kill what still runs."""
+        """Kill the processes that still run."""
         self.stop()
 
     def start(self) -> None:
         """Start the stand-ins, submit the document, start the system."""
         self._platform.start()
-        for plan in self.plans:
-            self._plan_node(plan)
-        names = [f"entry-{n + 1}" for n in range(self.entries)]
-        for name, address in zip(names, self.addresses(len(names)), strict=True):
-            self._links[name] = address
+        for spec in self.specs:
+            self._configure_endpoint(spec)
+        names = [f"entry-{n + 1}" for n in range(self.entry_count)]
+        for name, address in zip(names, self.new_addresses(len(names)), strict=True):
+            self._link_addresses[name] = address
         for name in names:
-            self._plan_entry(name, [other for other in names if other != name])
-        for node in self.nodes.values():
-            self.start_back_end(node.plan.name)
-            self.start_side(node.plan.name)
+            self._configure_entry(name, [other for other in names if other != name])
+        for endpoint in self.endpoints.values():
+            self.start_back_end(endpoint.spec.name)
+            self.start_side(endpoint.spec.name)
         self.submit(self.document())
         for name in self.urls:
             self.start_entry(name)
         for name in self.urls:
             self.wait_ready(name)
 
-    def _plan_node(self, plan: EndpointPlan) -> None:
-        link, back_end, admin, listen = self.addresses(4)
-        path = self.folder / f"{plan.name}.toml"
-        self.nodes[plan.name] = Node(plan, link, back_end, admin, path)
-        if plan.name in self.proxied:
-            self._start_proxy(plan.name, link, listen)
+    def _configure_endpoint(self, spec: EndpointSpec) -> None:
+        link, back_end, admin, listen = self.new_addresses(4)
+        path = self.folder / f"{spec.name}.toml"
+        self.endpoints[spec.name] = EndpointSetup(spec, link, back_end, admin, path)
+        if spec.name in self.proxied:
+            self._start_proxy(spec.name, link, listen)
         else:
             listen = link
-        kind = "service" if plan.service else "engine"
+        kind = "service" if spec.service else "engine"
         path.write_text(
-            self._common(plan.name, plan.data_centre, listen, link)
+            self._common_settings(spec.name, spec.data_centre, listen, link)
             + f'[side]\nback_end = "http://{back_end}"\nadmin = "{admin}"\n'
             + f'kind = "{kind}"\nstep_timeout_s = {self.step_timeout_s}\n'
             + f"retain_bytes = {self.retain_bytes}\n"
         )
 
-    def _plan_entry(self, name: str, others: list[str]) -> None:
-        listen, admin, behind = self.addresses(3)
-        link = self._links[name]
+    def _configure_entry(self, name: str, others: list[str]) -> None:
+        listen, admin, bind_address = self.new_addresses(3)
+        link = self._link_addresses[name]
         if name in self.proxied:
-            self._start_proxy(name, link, behind)
+            self._start_proxy(name, link, bind_address)
         else:
-            behind = link
+            bind_address = link
         seeds = ""
         for other in others:
-            seeds += f'[[seeds]]\nname = "{other}"\naddress = "{self._links[other]}"\n'
+            seeds += (
+                f'[[seeds]]\nname = "{other}"\n'
+                f'address = "{self._link_addresses[other]}"\n'
+            )
         self.urls[name] = f"http://{listen}"
         self.admin_urls[name] = f"http://{admin}"
         (self.folder / f"{name}.toml").write_text(
-            self._common(name, "attica-1", behind, link)
+            self._common_settings(name, "attica-1", bind_address, link)
             + f'[entry]\nlisten = "{listen}"\nadmin = "{admin}"\n'
             + f"leave_notice_s = {self.leave_notice_s}\npoll_s = 0.5\n"
             + f'chooser = "{self.chooser}"\n'
@@ -148,36 +172,38 @@
         )
 
     def _start_proxy(self, name: str, listen: str, target: str) -> None:
-        (admin,) = self.addresses(1)
+        (admin,) = self.new_addresses(1)
         args = ("--listen", listen, "--target", target, "--admin", admin)
-        self._links[f"{name}/link"] = admin
+        self._link_addresses[f"{name}/link"] = admin
         self.run_standin(f"{name}/link", "link", *args)
         self.wait_listening(admin, f"link of {name}")
 
-    def _common(self, name: str, data_centre: str, listen: str, link: str) -> str:
+    def _common_settings(
+        self, name: str, data_centre: str, listen: str, link: str
+    ) -> str:
         return (
             f'[process]\nname = "{name}"\ndata_centre = "{data_centre}"\n'
             f'[link]\naddress = "{listen}"\nadvertise = "{link}"\n'
             f"refused_s = {self.refused_s}\n"
-            f'[platform]\ntable = "{self.platform("table")}"\n'
-            f'objects = "{self.platform("objects")}"\n'
-            f'hosts = "{self.platform("hosts")}"\n'
+            f'[platform]\ntable = "{self.standin_url("table")}"\n'
+            f'objects = "{self.standin_url("objects")}"\n'
+            f'hosts = "{self.standin_url("hosts")}"\n'
         )
 
-    def platform(self, name: str) -> str:
-        """Return the URL of a stand-in of the platform, or of a path's faults."""
+    def standin_url(self, name: str) -> str:
+        """Return the URL of a platform stand-in, or of the faults of ``NAME/link``."""
         if name in Platform.NAMES:
             return self._platform.url(name)
-        return f"http://{self._links[name]}"
+        return f"http://{self._link_addresses[name]}"
 
-    def document(self, leave_out: tuple[str, ...] = ()) -> str:
-        """Return the text of a document for this deployment."""
+    def document(self, exclude: tuple[str, ...] = ()) -> str:
+        """Return the document of this deployment without the excluded endpoints."""
         hashed = hashlib.sha256(API_KEY.encode()).hexdigest()
         lines = [
             f"[models.{MODEL}]",
             'version = "1"',
             f"layers = {LAYERS}",
-            self.model_lines,
+            self.extra_model_lines,
             "[adapters.organ-notices]",
             f'model = "{MODEL}"',
             "[priorities.normal]",
@@ -185,51 +211,51 @@
             "[customers.parish]",
             f'key_sha256 = "{hashed}"',
             'priority = "normal"',
-            f"rate_per_s = {self.rate}",
+            f"rate_per_s = {self.rate_per_s}",
             "concurrency = 1000",
             "[services.booking]",
-            f"deadline_s = {self.call_deadline_s}",
+            f"deadline_s = {self.call_timeout_s}",
             "calls = [",
             '  {method = "POST", path = "/bookings", idempotent = false},',
             '  {method = "GET", path = "/calendar", idempotent = true},',
             '  {method = "GET", path = "/venues/*", idempotent = true},',
             "]",
         ]
-        for node in self.nodes.values():
-            if node.plan.name in leave_out:
+        for endpoint in self.endpoints.values():
+            if endpoint.spec.name in exclude:
                 continue
-            lines += self._endpoint_lines(node)
+            lines += self._endpoint_lines(endpoint)
         return "\n".join(lines) + "\n"
 
-    def _endpoint_lines(self, node: Node) -> list[str]:
-        plan = node.plan
+    def _endpoint_lines(self, endpoint: EndpointSetup) -> list[str]:
+        spec = endpoint.spec
         lines = [
-            f"[endpoints.{plan.name}]",
-            f'address = "{node.link}"',
-            f'data_centre = "{plan.data_centre}"',
+            f"[endpoints.{spec.name}]",
+            f'address = "{endpoint.link}"',
+            f'data_centre = "{spec.data_centre}"',
         ]
-        if plan.service:
-            return [*lines, f'service = "{plan.service}"']
-        lines.append(f'kind = "{plan.kind}"\nspeed = {plan.speed}')
+        if spec.service:
+            return [*lines, f'service = "{spec.service}"']
+        lines.append(f'kind = "{spec.kind}"\nspeed = {spec.speed}')
         lines.append(f'model = "{MODEL}"')
-        return [*lines, f"layers = [{plan.first}, {plan.last}]"]
+        return [*lines, f"layers = [{spec.first_layer}, {spec.end_layer}]"]
 
     def submit(self, text: str, *options: str) -> subprocess.CompletedProcess[str]:
-        """Submit a document with the operators' command line."""
+        """Submit a document with the command line tool."""
         path = self.folder / "document.toml"
         path.write_text(text)
         return self.cli("submit", str(path), *options)
 
     def cli(self, *args: str) -> subprocess.CompletedProcess[str]:
-        """Run the operators' command line; its exit code is the caller's."""
+        """Run the command line tool; the caller checks its exit code."""
         env = {
             **os.environ,
-            "HEMLOCKHALL_TABLE": self.platform("table"),
-            "HEMLOCKHALL_OBJECTS": self.platform("objects"),
+            "HEMLOCKHALL_TABLE": self.standin_url("table"),
+            "HEMLOCKHALL_OBJECTS": self.standin_url("objects"),
             "HEMLOCKHALL_ENTRIES": " ".join(self.admin_urls.values()),
         }
         return subprocess.run(
-            [self.program("hemlockhall"), *args],
+            [self.program_path("hemlockhall"), *args],
             env=env,
             capture_output=True,
             text=True,
@@ -237,41 +263,41 @@
         )
 
     def start_back_end(self, name: str) -> None:
-        """Start the stand-in of an endpoint."""
-        node = self.nodes[name]
-        plan = node.plan
-        listen = ("--listen", node.back_end)
-        if plan.service:
-            args: tuple[str, ...] = ("service", *listen, "--name", plan.service)
+        """Start the back end of an endpoint."""
+        endpoint = self.endpoints[name]
+        spec = endpoint.spec
+        listen = ("--listen", endpoint.back_end)
+        if spec.service:
+            args: tuple[str, ...] = ("service", *listen, "--name", spec.service)
         else:
-            layers = ("--first", str(plan.first), "--last", str(plan.last))
+            layers = ("--first", str(spec.first_layer), "--last", str(spec.end_layer))
             speed: tuple[str, ...] = ("--step-s", str(self.step_s))
-            cost = self.token_layer_s / plan.speed
-            speed += ("--token-layer-s", str(cost))
+            token_layer_s = self.token_layer_s / spec.speed
+            speed += ("--token-layer-s", str(token_layer_s))
             args = ("engine", *listen, *layers, *speed)
         self.run_standin(f"{name}/back-end", *args)
-        self.wait_listening(node.back_end, name)
+        self.wait_listening(endpoint.back_end, name)
 
     def start_side(self, name: str) -> None:
         """Start the side process of an endpoint."""
-        path = str(self.nodes[name].settings)
-        self.run(name, "hemlockhalld", "side", "--settings", path)
+        path = str(self.endpoints[name].settings)
+        self.start_process(name, "hemlockhalld", "side", "--settings", path)
 
     def start_entry(self, name: str) -> None:
         """Start an entry host."""
         path = str(self.folder / f"{name}.toml")
-        self.run(name, "hemlockhalld", "entry", "--settings", path)
+        self.start_process(name, "hemlockhalld", "entry", "--settings", path)
 
     def wait_ready(self, name: str) -> None:
-        """Wait until an entry host sees every started endpoint as active."""
+        """Wait until an entry host is ready and sees all running endpoints active."""
 
         def ready() -> bool:
-            if not self.running(name):
-                raise RuntimeError(f"{name} ended:\n{self.log(name)}")
-            return answers(f"{self.urls[name]}/readyz")
+            if not self.is_running(name):
+                raise RuntimeError(f"{name} ended:\n{self.read_log(name)}")
+            return responds_ok(f"{self.urls[name]}/readyz")
 
         wait_for(ready, f"{name} ready")
-        running = {n for n in self.nodes if self.running(n)}
+        running = {n for n in self.endpoints if self.is_running(n)}
 
         def sees_all() -> bool:
             peers = self.status(name)["peers"]
@@ -281,51 +307,51 @@
         wait_for(sees_all, f"{name} sees {sorted(running)}")
 
     def status(self, name: str) -> dict[str, Any]:
-        """Return what ``/status`` of an entry host or endpoint shows."""
-        url = self.admin_urls.get(name) or f"http://{self.nodes[name].admin}"
+        """Return ``/status`` of an entry host or of a side process."""
+        url = self.admin_urls.get(name) or f"http://{self.endpoints[name].admin}"
         return httpx.get(f"{url}/status").json()
 
     def counter(self, process: str, name: str, label: str) -> float:
-        """Return a counter of a process, 0 if it never moved."""
+        """Return a counter of a process, 0 if it was never incremented."""
         key = f"hemlockhall_{name}_total{{{label}}}"
         return self.status(process)["counters"].get(key, 0.0)
 
     def tally(self, name: str) -> dict[str, Any]:
-        """Return what the stand-in of an endpoint counted."""
-        return httpx.get(f"http://{self.nodes[name].back_end}/tally").json()
+        """Return what the back end of an endpoint recorded."""
+        return httpx.get(f"http://{self.endpoints[name].back_end}/tally").json()
 
-    def fault(self, name: str, **faults: Any) -> None:
-        """Switch faults of a stand-in of an endpoint or the platform."""
-        if name in self.nodes:
-            url = f"http://{self.nodes[name].back_end}"
+    def set_faults(self, name: str, **faults: Any) -> None:
+        """Set faults of a back end, of a platform stand-in, or of ``NAME/link``."""
+        if name in self.endpoints:
+            url = f"http://{self.endpoints[name].back_end}"
         else:
-            url = self.platform(name)
+            url = self.standin_url(name)
         httpx.post(f"{url}/faults", json=faults).raise_for_status()
 
     def silence(self, name: str) -> int:
-        """Make the present connections to an endpoint silent for good."""
-        url = self.platform(f"{name}/link")
+        """Black-hole the open connections to a proxied process; return their number."""
+        url = self.standin_url(f"{name}/link")
         return httpx.post(f"{url}/silence").json()["silent"]
 
     def client(self, entry: str = "entry-1", key: str = API_KEY) -> httpx.Client:
-        """Return a caller's client of one entry host."""
+        """Return an HTTP client for an entry host."""
         headers = {"authorization": f"Bearer {key}"}
         return httpx.Client(base_url=self.urls[entry], headers=headers, timeout=60.0)
 
 
-def two_pipelines() -> list[EndpointPlan]:
-    """Return two pipelines of three stages, of two kinds, and a service."""
-    plans = []
+def two_pipelines() -> list[EndpointSpec]:
+    """Return two pipelines of three stages, each of one kind, and a booking service."""
+    specs = []
     kinds = ("tall", "wide")
     for row, kind in zip("ab", kinds, strict=True):
         for stage in range(3):
-            first = stage * LAYERS // 3
-            centre = f"attica-{stage + 1}"
-            last = first + LAYERS // 3
+            first_layer = stage * LAYERS // 3
+            data_centre = f"attica-{stage + 1}"
+            end_layer = first_layer + LAYERS // 3
             name = f"{row}{stage + 1}"
-            plans.append(EndpointPlan(name, kind, centre, first, last))
-    plans.append(EndpointPlan("loft-1", "plain", "attica-1", service="booking"))
-    return plans
+            specs.append(EndpointSpec(name, kind, data_centre, first_layer, end_layer))
+    specs.append(EndpointSpec("loft-1", "plain", "attica-1", service="booking"))
+    return specs
 
 
 __all__ = [
@@ -333,6 +359,6 @@
     "LAYERS",
     "MODEL",
     "Deployment",
-    "EndpointPlan",
+    "EndpointSpec",
     "two_pipelines",
 ]
--- a/packages/standins/src/hemlockhall_standins/engine.py
+++ b/packages/standins/src/hemlockhall_standins/engine.py
@@ -1,8 +1,8 @@
-"""Stand-in for a model engine that holds a range of layers.
+"""Simulated model engine that holds a range of layers.
 
-The model is arithmetic: each layer of a position mixes its input with the
-state that the layer kept from the position before, its KV cache. A skipped,
-repeated or swapped layer or token therefore changes the answer.
+The model is integer arithmetic: at each position a layer combines its input with
+its state after the previous position, which is its KV cache. A skipped, repeated or
+swapped layer or token therefore changes the output.
 """
 
 from __future__ import annotations
@@ -15,20 +15,22 @@
 
 import anyio
 
-from hemlockhall_standins.web import App, Fault, Faults, Request, Response
+from hemlockhall_standins.web import App, Faults, Request, Response, ResponseError
 
 PRIME = (1 << 61) - 1
 VOCABULARY = 50_000
 STOP_TOKEN = 7
-BLOCK = 16
+BLOCK_TOKENS = 16
 
 
 @dataclass
 class EngineFaults(Faults):
     """Faults of an engine, and the simulated time of a step.
 
-    A step takes ``step_s`` and ``token_layer_s`` for each token and layer.
-    ``dead_after`` ends the process after so many steps.
+    A step takes ``step_s``, plus ``token_layer_s`` for each token and layer.
+    ``ignores_fencing`` accepts orders with an old fencing number. The reported load
+    is ``lag_s`` old. ``event_gap`` is the number of events that a read of the block
+    events misses, and ``max_blocks`` the size of the prefix cache.
     """
 
     step_s: float = 0.002
@@ -40,26 +42,26 @@
 
 
 @dataclass
-class Cache:
-    """The KV cache of one request: layer states after each position."""
+class KVCache:
+    """KV cache of one request: the states of all layers after each position."""
 
     attempt: int
     states: list[list[int]] = field(default_factory=list)
 
 
 @dataclass
-class Step:
-    """One entry of the log that the checker reads."""
+class StepRecord:
+    """One position that the engine ran, for checks by tests."""
 
     request: str
     attempt: int
     position: int
-    first: int
-    last: int
+    first_layer: int
+    end_layer: int
 
 
 def tokenise(text: str) -> list[int]:
-    """Return the token ids of a prompt: one for each word."""
+    """Return the token ids of a prompt, one per word and at least one."""
     return [hash_text(word) for word in text.split()] or [1]
 
 
@@ -71,39 +73,39 @@
     return value % VOCABULARY
 
 
-def word(token: int) -> str:
+def token_text(token: int) -> str:
     """Return the text of a token."""
     return f"w{token} "
 
 
-def run_layers(state: list[int], value: int, first: int, last: int) -> tuple:
-    """Run layers on one position; return the new state and the output."""
+def run_layers(state: list[int], value: int, first_layer: int, end_layer: int) -> tuple:
+    """Run layers on one position; return their new states and the output."""
     new = []
-    for layer in range(first, last):
-        before = state[layer - first]
+    for layer in range(first_layer, end_layer):
+        before = state[layer - first_layer]
         value = (value * 6364136223846793005 + before * 31 + layer + 1) % PRIME
         new.append((before * 1442695040888963407 + value) % PRIME)
     return new, value
 
 
 class Engine:
-    """Holds layers ``first`` up to ``last`` of a model."""
+    """Engine with the layers from ``first_layer`` up to ``end_layer``, exclusive."""
 
-    def __init__(self, first: int, last: int, faults: EngineFaults) -> None:
-        self.first = first
-        self.last = last
+    def __init__(self, first_layer: int, end_layer: int, faults: EngineFaults) -> None:
+        self.first_layer = first_layer
+        self.end_layer = end_layer
         self.faults = faults
-        self.caches: dict[str, Cache] = {}
-        self.log: list[Step] = []
-        self.fencing = 0
+        self.caches: dict[str, KVCache] = {}
+        self.step_records: list[StepRecord] = []
+        self.highest_fence = 0
         self.orders: list[dict[str, Any]] = []
-        self.refused = 0
-        self.blocks: OrderedDict[int, None] = OrderedDict()
-        self.events: list[dict[str, Any]] = []
+        self.refused_orders = 0
+        self.prefix_blocks: OrderedDict[int, None] = OrderedDict()
+        self.block_events: list[dict[str, Any]] = []
         self.busy_s = 0.0
         self.step_count = 0
         self._accelerator = anyio.Lock()
-        self._reports: list[tuple[float, int]] = [(0.0, 0)]
+        self._load_history: list[tuple[float, int]] = [(0.0, 0)]
 
     def app(self) -> App:
         """Return the HTTP interface."""
@@ -123,44 +125,44 @@
         results = []
         tokens = 0
         for item in items:
-            result = self._run(item)
+            result = self._run_item(item)
             tokens += len(result.get("activations", ()))
             results.append(result)
-        layers = self.last - self.first
-        cost = self.faults.step_s + self.faults.token_layer_s * tokens * layers
+        layers = self.end_layer - self.first_layer
+        step_time_s = self.faults.step_s + self.faults.token_layer_s * tokens * layers
         async with self._accelerator:
-            await anyio.sleep(cost)
-        self.busy_s += cost
+            await anyio.sleep(step_time_s)
+        self.busy_s += step_time_s
         self.step_count += 1
-        self._reports.append((time.monotonic(), len(self.caches)))
+        self._load_history.append((time.monotonic(), len(self.caches)))
         return Response({"results": results})
 
-    def _run(self, item: dict[str, Any]) -> dict[str, Any]:
-        """Append the item's positions to its cache; refuse a repeat or gap."""
+    def _run_item(self, item: dict[str, Any]) -> dict[str, Any]:
+        """Append the positions of an item to its cache; refuse a repeat or a gap."""
         request, attempt = item["request"], item["attempt"]
         position = item["position"]
         cache = self.caches.get(request)
         if cache is None:
-            cache = self.caches[request] = Cache(attempt)
-        answer: dict[str, Any] = {"request": request, "attempt": attempt}
+            cache = self.caches[request] = KVCache(attempt)
+        result: dict[str, Any] = {"request": request, "attempt": attempt}
         if attempt < cache.attempt:
-            return {**answer, "error": "superseded"}
+            return {**result, "error": "superseded"}
         if attempt > cache.attempt:
             cache.attempt = attempt
             del cache.states[position:]
         if position != len(cache.states):
-            return {**answer, "error": "repeat or gap"}
+            return {**result, "error": "repeat or gap"}
         values, prompt_length = self._inputs(item, position)
         outputs = []
         for value in values:
             outputs.append(self._append(cache, request, value))
-        answer["position"] = position
-        answer["prompt_length"] = prompt_length
-        answer["activations"] = [_pack(value) for value in outputs]
+        result["position"] = position
+        result["prompt_length"] = prompt_length
+        result["activations"] = [_pack(value) for value in outputs]
         if item["sample"]:
-            known = position + len(values) - prompt_length + 1
-            answer["token"] = self._sample(outputs[-1], item, known)
-        return answer
+            token_number = position + len(values) - prompt_length + 1
+            result["token"] = self._sample(outputs[-1], item, token_number)
+        return result
 
     def _inputs(self, item: dict[str, Any], position: int) -> tuple[list[int], int]:
         if "activations" in item:
@@ -169,84 +171,93 @@
         if item.get("text") is None:
             return list(item["tokens"]), item["prompt_length"]
         prompt = tokenise(item["text"])
-        self._note_blocks(prompt)
+        self._store_prefix_blocks(prompt)
         adapter = hash_text(item["adapter"])
-        whole = [token + adapter for token in prompt] + item["tokens"]
-        return whole[position:], len(prompt)
+        tokens = [token + adapter for token in prompt] + item["tokens"]
+        return tokens[position:], len(prompt)
 
-    def _append(self, cache: Cache, request: str, value: int) -> int:
-        layers = self.last - self.first
+    def _append(self, cache: KVCache, request: str, value: int) -> int:
+        layers = self.end_layer - self.first_layer
         state = cache.states[-1] if cache.states else [0] * layers
-        new, value = run_layers(state, value, self.first, self.last)
+        new, value = run_layers(state, value, self.first_layer, self.end_layer)
         position = len(cache.states)
-        self.log.append(Step(request, cache.attempt, position, self.first, self.last))
+        self.step_records.append(
+            StepRecord(
+                request, cache.attempt, position, self.first_layer, self.end_layer
+            )
+        )
         cache.states.append(new)
         return value
 
-    def _sample(self, value: int, item: dict[str, Any], known: int) -> dict[str, Any]:
+    def _sample(
+        self, value: int, item: dict[str, Any], token_number: int
+    ) -> dict[str, Any]:
         token = (value + item["seed"]) % VOCABULARY
-        end = known >= item["max_tokens"]
+        end = token_number >= item["max_tokens"]
         finish = "stop" if token == STOP_TOKEN else "length" if end else ""
-        return {"id": token, "text": word(token), "finish": finish}
+        return {"id": token, "text": token_text(token), "finish": finish}
 
-    def _note_blocks(self, prompt: list[int]) -> None:
-        """Keep the prompt's blocks in the prefix cache, the oldest leave."""
+    def _store_prefix_blocks(self, prompt: list[int]) -> None:
+        """Add the blocks of a prompt to the prefix cache; evict the least recent."""
         value = 0
-        for start in range(0, len(prompt) - BLOCK + 1, BLOCK):
-            value = hash((value, tuple(prompt[start : start + BLOCK])))
-            if value not in self.blocks:
-                self.events.append({"kind": "stored", "block": value})
-            self.blocks[value] = None
-            self.blocks.move_to_end(value)
-        while len(self.blocks) > self.faults.max_blocks:
-            old, _ = self.blocks.popitem(last=False)
-            self.events.append({"kind": "removed", "block": old})
+        for start in range(0, len(prompt) - BLOCK_TOKENS + 1, BLOCK_TOKENS):
+            value = hash((value, tuple(prompt[start : start + BLOCK_TOKENS])))
+            if value not in self.prefix_blocks:
+                self.block_events.append({"kind": "stored", "block": value})
+            self.prefix_blocks[value] = None
+            self.prefix_blocks.move_to_end(value)
+        while len(self.prefix_blocks) > self.faults.max_blocks:
+            block, _ = self.prefix_blocks.popitem(last=False)
+            self.block_events.append({"kind": "removed", "block": block})
 
     async def _cancel(self, req: Request) -> Response:
-        asked = req.json()
-        if asked["everything"]:
+        body = req.json()
+        if body["everything"]:
             self.caches.clear()
-        for request in asked["requests"]:
+        for request in body["requests"]:
             self.caches.pop(request, None)
         return Response({})
 
     async def _export(self, req: Request) -> Response:
         cache = self.caches.get(req.groups[0])
         if cache is None:
-            raise Fault(Response({"error": "no such request"}, 404))
+            raise ResponseError(Response({"error": "no such request"}, 404))
         return Response({"attempt": cache.attempt, "states": cache.states})
 
     async def _import(self, req: Request) -> Response:
-        asked = req.json()
-        self.caches[req.groups[0]] = Cache(asked["attempt"], asked["states"])
-        return Response({"positions": len(asked["states"])})
+        body = req.json()
+        self.caches[req.groups[0]] = KVCache(body["attempt"], body["states"])
+        return Response({"positions": len(body["states"])})
 
     async def _order(self, req: Request) -> Response:
         order = req.json()
-        if order["fencing"] < self.fencing and not self.faults.ignores_fencing:
-            self.refused += 1
+        if order["fencing"] < self.highest_fence and not self.faults.ignores_fencing:
+            self.refused_orders += 1
             return Response({"error": "old fencing number"}, 409)
-        self.fencing = max(self.fencing, order["fencing"])
+        self.highest_fence = max(self.highest_fence, order["fencing"])
         self.orders.append(order)
         if order["kind"] == "load":
-            self.first, self.last = order["layers"]
+            self.first_layer, self.end_layer = order["layers"]
             self.caches.clear()
         return Response({})
 
     async def _load(self, req: Request) -> Response:
-        limit = time.monotonic() - self.faults.lag_s
-        shown = [load for at, load in self._reports if at <= limit]
-        return Response({"requests": shown[-1] if shown else 0})
+        shown_until = time.monotonic() - self.faults.lag_s
+        visible = [load for at, load in self._load_history if at <= shown_until]
+        return Response({"requests": visible[-1] if visible else 0})
 
     async def _events(self, req: Request) -> Response:
         after = int(req.query.get("after", "0"))
-        events = self.events[after:]
+        events = self.block_events[after:]
         if self.faults.event_gap:
             events = events[self.faults.event_gap :]
-        return Response({"events": events, "next": len(self.events)})
+        return Response({"events": events, "next": len(self.block_events)})
 
     async def _tally(self, req: Request) -> Response:
-        steps = [[s.request, s.attempt, s.position, s.first, s.last] for s in self.log]
+        steps = [
+            [s.request, s.attempt, s.position, s.first_layer, s.end_layer]
+            for s in self.step_records
+        ]
         return Response(
             {
                 "steps": steps,
@@ -254,27 +265,27 @@
                 "step_count": self.step_count,
                 "open": sorted(self.caches),
                 "orders": self.orders,
-                "refused": self.refused,
-                "layers": [self.first, self.last],
+                "refused": self.refused_orders,
+                "layers": [self.first_layer, self.end_layer],
             }
         )
 
 
-def reference_answer(text: str, max_tokens: int, layers: int, seed: int = 0) -> str:
-    """Return the model's answer, computed by one loop without any stages."""
+def reference_text(text: str, max_tokens: int, layers: int, seed: int = 0) -> str:
+    """Return the output of the model, computed in one loop without stages."""
     adapter = hash_text("")
     inputs = [token + adapter for token in tokenise(text)]
     state = [0] * layers
-    answer = ""
+    output = ""
     for count in range(1, max_tokens + 1):
         for value in inputs:
             state, value = run_layers(state, value, 0, layers)
         token = (value + seed) % VOCABULARY
-        answer += word(token)
+        output += token_text(token)
         if token == STOP_TOKEN or count == max_tokens:
             break
         inputs = [token]
-    return answer
+    return output
 
 
 def _pack(value: int) -> str:
@@ -288,8 +299,8 @@
 __all__ = [
     "Engine",
     "EngineFaults",
-    "reference_answer",
+    "reference_text",
     "run_layers",
     "tokenise",
-    "word",
+    "token_text",
 ]
--- a/packages/standins/src/hemlockhall_standins/main.py
+++ b/packages/standins/src/hemlockhall_standins/main.py
@@ -1,11 +1,11 @@
-"""Command line of the stand-ins: each runs as a process of its own."""
+"""Command line of the stand-ins, each of which runs as its own process."""
 
 from __future__ import annotations
 
 import click
 
 from hemlockhall_standins.engine import Engine, EngineFaults
-from hemlockhall_standins.link import Link
+from hemlockhall_standins.link import TcpProxy
 from hemlockhall_standins.service import Service
 from hemlockhall_standins.storage import hosts_app, objects_app, weights_app
 from hemlockhall_standins.table import Table
@@ -51,7 +51,7 @@
 @LISTEN
 @click.option("--name", required=True)
 def service(listen: str, name: str) -> None:
-    """Run a plain service that takes bookings."""
+    """Run a plain service that accepts bookings."""
     run(Service(name).app(), listen)
 
 
@@ -64,18 +64,18 @@
 def engine(
     listen: str, first: int, last: int, step_s: float, token_layer_s: float
 ) -> None:
-    """Run a model engine that holds layers FIRST up to LAST."""
+    """Run a model engine that holds layers FIRST up to LAST, exclusive."""
     faults = EngineFaults(step_s=step_s, token_layer_s=token_layer_s)
     run(Engine(first, last, faults).app(), listen)
 
 
 @main.command()
 @LISTEN
-@click.option("--target", required=True, help="IP:port to pass connections to.")
-@click.option("--admin", required=True, help="IP:port of the faults' interface.")
+@click.option("--target", required=True, help="IP:port to forward connections to.")
+@click.option("--admin", required=True, help="IP:port for setting faults.")
 def link(listen: str, target: str, admin: str) -> None:
-    """Run a TCP link whose connections can go silent or be cut."""
-    Link(listen, target).run(admin)
+    """Run a TCP proxy that can black-hole or close its connections."""
+    TcpProxy(listen, target).run(admin)
 
 
 if __name__ == "__main__":
--- a/packages/standins/src/hemlockhall_standins/processes.py
+++ b/packages/standins/src/hemlockhall_standins/processes.py
@@ -1,6 +1,6 @@
-"""Processes of this project on a loopback host of their own.
+"""Starts and stops processes of this project on a loopback address.
 
-Only demos, tests and benches use them; the system itself starts no process.
+Only demos, tests and benchmarks use it; the system itself starts no processes.
 """
 
 from __future__ import annotations
@@ -19,22 +19,22 @@
 
 import httpx
 
-START_TIMEOUT = 60.0
-POLL = 0.05
+START_TIMEOUT_S = 60.0
+POLL_INTERVAL_S = 0.05
 
 
-def new_host() -> str:
-    """Return a loopback address that no other deployment is likely to use.
+def new_loopback_host() -> str:
+    """Return a random loopback address, so that deployments do not collide.
 
-    Outgoing connections take their ports on 127.0.0.1, so a port that was
-    free on another loopback address is still free when a process binds it.
+    Outgoing connections take their ports on 127.0.0.1; a port that was free on
+    another loopback address therefore stays free until a process binds it.
     """
     parts = [str(1 + secrets.randbelow(254)) for _ in range(3)]
     return ".".join(["127", *parts])
 
 
 def free_addresses(host: str, count: int) -> list[str]:
-    """Return addresses on a loopback host whose ports the kernel chose."""
+    """Return addresses (IP:port) with distinct free ports on a loopback host."""
     with ExitStack() as stack:
         addresses = []
         for _ in range(count):
@@ -44,20 +44,22 @@
         return addresses
 
 
-def wait_for(check: Any, what: str, timeout: float = START_TIMEOUT) -> Any:
-    """Return the first true value of ``check``; raise when none comes."""
-    give_up_at = time.monotonic() + timeout
+def wait_for(
+    condition: Any, description: str, timeout_s: float = START_TIMEOUT_S
+) -> Any:
+    """Poll ``condition`` and return its first true value; raise TimeoutError."""
+    deadline = time.monotonic() + timeout_s
     while True:
-        value = check()
+        value = condition()
         if value:
             return value
-        if time.monotonic() > give_up_at:
-            raise TimeoutError(f"waited {timeout} s for {what}")
-        time.sleep(POLL)
+        if time.monotonic() > deadline:
+            raise TimeoutError(f"waited {timeout_s} s for {description}")
+        time.sleep(POLL_INTERVAL_S)
 
 
-def answers(url: str) -> bool:
-    """Return whether something answers 200 there."""
+def responds_ok(url: str) -> bool:
+    """Return whether a GET of the URL gets status 200."""
     try:
         return httpx.get(url, timeout=1.0).status_code == httpx.codes.OK
     except httpx.HTTPError:
@@ -65,57 +67,57 @@
 
 
 class Processes:
-    """Processes on a loopback host of their own, ended together."""
+    """Named processes that share a loopback host and are stopped together."""
 
     def __init__(self) -> None:
         self.folder = Path(tempfile.mkdtemp(prefix="hemlockhall-"))
         self._bin = Path(sys.executable).parent
-        self._host = new_host()
+        self._host = new_loopback_host()
         self._used: set[str] = set()
         self._processes: dict[str, subprocess.Popen[bytes]] = {}
 
-    def addresses(self, count: int) -> list[str]:
-        """Return addresses that these processes have not used yet."""
-        found: list[str] = []
-        while len(found) < count:
-            for address in free_addresses(self._host, count - len(found)):
+    def new_addresses(self, count: int) -> list[str]:
+        """Return free addresses that were not handed out before."""
+        addresses: list[str] = []
+        while len(addresses) < count:
+            for address in free_addresses(self._host, count - len(addresses)):
                 if address not in self._used:
                     self._used.add(address)
-                    found.append(address)
-        return found
+                    addresses.append(address)
+        return addresses
 
-    def run(self, name: str, program: str, *args: str) -> None:
-        """Start a program of this project."""
+    def start_process(self, name: str, program: str, *args: str) -> None:
+        """Start a program of this environment; its output goes to the log."""
         with self._log_path(name).open("ab") as log:
             self._processes[name] = subprocess.Popen(
-                [self.program(program), *args], stdout=log, stderr=log
+                [self.program_path(program), *args], stdout=log, stderr=log
             )
 
     def run_standin(self, name: str, *args: str) -> None:
-        """Start a stand-in."""
-        self.run(name, "python", "-m", "hemlockhall_standins.main", *args)
+        """Start a command of ``hemlockhall_standins.main``."""
+        self.start_process(name, "python", "-m", "hemlockhall_standins.main", *args)
 
-    def program(self, name: str) -> Path:
-        """Return the path of a program of this project."""
+    def program_path(self, name: str) -> Path:
+        """Return the path of a program of this environment."""
         return self._bin / name
 
-    def wait_listening(self, address: str, what: str) -> None:
-        """Wait until something listens there."""
+    def wait_listening(self, address: str, description: str) -> None:
+        """Wait until something listens on an address."""
         host, port = address.split(":")
 
-        def listening() -> bool:
+        def is_listening() -> bool:
             with socket.socket() as sock:
                 return sock.connect_ex((host, int(port))) == 0
 
-        wait_for(listening, f"{what} to listen")
+        wait_for(is_listening, f"{description} to listen")
 
-    def running(self, name: str) -> bool:
-        """Return whether a process is there."""
+    def is_running(self, name: str) -> bool:
+        """Return whether a process was started and has not ended."""
         process = self._processes.get(name)
         return process is not None and process.poll() is None
 
-    def signal(self, name: str, number: signal.Signals) -> None:
-        """Send a signal to a process; an endpoint's engine is NAME/back-end."""
+    def send_signal(self, name: str, number: signal.Signals) -> None:
+        """Send a signal to a process; the back end of an endpoint is NAME/back-end."""
         self._processes[name].send_signal(number)
 
     def kill(self, name: str) -> None:
@@ -123,16 +125,16 @@
         self._processes[name].kill()
         self._processes[name].wait()
 
-    def exit_code(self, name: str, timeout: float = 30.0) -> int:
+    def exit_code(self, name: str, timeout_s: float = 30.0) -> int:
         """Wait for a process to end; return its exit code."""
-        return self._processes[name].wait(timeout)
+        return self._processes[name].wait(timeout_s)
 
     def pid(self, name: str) -> int:
         """Return a process id."""
         return self._processes[name].pid
 
-    def log(self, name: str) -> str:
-        """Return what a process logged."""
+    def read_log(self, name: str) -> str:
+        """Return the output of a process."""
         return self._log_path(name).read_text()
 
     def stop(self) -> None:
@@ -149,13 +151,13 @@
 
 
 class Platform:
-    """The stand-ins of the platform alone."""
+    """Runs the stand-ins of the platform: table service, object store, host list."""
 
     NAMES = ("table", "objects", "hosts")
 
     def __init__(self, processes: Processes | None = None) -> None:
         self.processes = processes or Processes()
-        self._at: dict[str, str] = {}
+        self._addresses: dict[str, str] = {}
 
     def __enter__(self) -> Platform:
         """Start the stand-ins."""
@@ -163,32 +165,32 @@
         return self
 
     def __exit__(self, *args: object) -> None:
-        """Kill them."""
+        """Kill the stand-ins."""
         self.processes.stop()
 
     def start(self) -> None:
         """Start the stand-ins and wait until they listen."""
-        addresses = self.processes.addresses(len(self.NAMES))
+        addresses = self.processes.new_addresses(len(self.NAMES))
         for name, address in zip(self.NAMES, addresses, strict=True):
-            self._at[name] = address
+            self._addresses[name] = address
             self.processes.run_standin(name, name, "--listen", address)
-        for name, address in self._at.items():
+        for name, address in self._addresses.items():
             self.processes.wait_listening(address, name)
 
     def url(self, name: str) -> str:
         """Return the URL of a stand-in."""
-        return f"http://{self._at[name]}"
+        return f"http://{self._addresses[name]}"
 
-    def fault(self, name: str, **faults: Any) -> None:
-        """Switch faults of a stand-in."""
+    def set_faults(self, name: str, **faults: Any) -> None:
+        """Set faults of a stand-in."""
         httpx.post(f"{self.url(name)}/faults", json=faults).raise_for_status()
 
 
 __all__ = [
     "Platform",
     "Processes",
-    "answers",
+    "responds_ok",
     "free_addresses",
-    "new_host",
+    "new_loopback_host",
     "wait_for",
 ]
--- a/packages/standins/src/hemlockhall_standins/service.py
+++ b/packages/standins/src/hemlockhall_standins/service.py
@@ -1,4 +1,4 @@
-"""Stand-in for a plain service whose bookings must not be repeated."""
+"""Simulated plain service with calls that are not idempotent."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass
 class Booking:
-    """One booking that took effect."""
+    """A booking that took effect; ``what`` is the request body."""
 
     number: int
     what: object
@@ -17,10 +17,10 @@
 
 @dataclass
 class Service:
-    """Keeps what was booked, in order, for tests to read at ``/tally``."""
+    """Records bookings in order, for tests to read at ``/tally``."""
 
     name: str
-    booked: list[Booking] = field(default_factory=list)
+    bookings: list[Booking] = field(default_factory=list)
     reads: int = 0
 
     def app(self) -> App:
@@ -33,8 +33,8 @@
         return app
 
     async def _book(self, req: Request) -> Response:
-        booking = Booking(len(self.booked) + 1, req.json())
-        self.booked.append(booking)
+        booking = Booking(len(self.bookings) + 1, req.json())
+        self.bookings.append(booking)
         body = {"confirmation": f"{self.name}-{booking.number}", "what": booking.what}
         return Response(body, 201, {"x-service": self.name})
 
@@ -46,7 +46,7 @@
         return Response({"venue": req.groups[0]})
 
     async def _tally(self, req: Request) -> Response:
-        what = [booking.what for booking in self.booked]
+        what = [booking.what for booking in self.bookings]
         return Response({"bookings": len(what), "what": what, "reads": self.reads})
 
 
--- a/packages/standins/src/hemlockhall_standins/storage.py
+++ b/packages/standins/src/hemlockhall_standins/storage.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the object store, the weight store and the host list."""
+"""Simulated object store, weight store and host list of the platform."""
 
 from __future__ import annotations
 
@@ -11,33 +11,33 @@
 
 
 def objects_app() -> App:
-    """Return an object store."""
+    """Return an in-memory object store."""
     app = App()
-    kept: dict[str, bytes] = {}
+    stored: dict[str, bytes] = {}
 
     @app.route("PUT", "/objects/(.+)")
     async def _put(req: Request) -> Response:
-        kept[req.groups[0]] = req.body
+        stored[req.groups[0]] = req.body
         return Response({})
 
     @app.route("GET", "/objects/(.+)")
     async def _get(req: Request) -> Response:
-        if req.groups[0] not in kept:
+        if req.groups[0] not in stored:
             return Response({"error": "no object"}, 404)
-        return Response(kept[req.groups[0]])
+        return Response(stored[req.groups[0]])
 
     return app
 
 
 @dataclass
 class WeightFaults(Faults):
-    """The rate of the weight store, in bytes a second for all readers."""
+    """Rate of the weight store in bytes per second, shared by all readers."""
 
     bytes_per_s: float = 1e9
 
 
 def weights_app() -> App:
-    """Return a weight store: an answer takes as long as its bytes would."""
+    """Return a weight store that delays each response by its transfer time."""
     faults = WeightFaults()
     app = App(faults)
     free_at = time.monotonic()
@@ -55,13 +55,13 @@
 
 @dataclass
 class HostFaults(Faults):
-    """How far the list is behind, in seconds."""
+    """Seconds after which the list shows a change."""
 
     lag_s: float = 2.0
 
 
 def hosts_app() -> App:
-    """Return a host list that shows each change only after a while."""
+    """Return a host list that shows each change after ``lag_s``."""
     faults = HostFaults()
     app = App(faults)
     changes: list[tuple[float, str, str]] = []
@@ -73,12 +73,12 @@
 
     @app.route("GET", "/hosts")
     async def _get(req: Request) -> Response:
-        shown: dict[str, str] = {}
+        visible: dict[str, str] = {}
         for at, name, state in changes:
             if time.monotonic() - at < faults.lag_s:
                 continue
-            shown[name] = state
-        return Response([{"endpoint": n, "state": s} for n, s in shown.items()])
+            visible[name] = state
+        return Response([{"endpoint": n, "state": s} for n, s in visible.items()])
 
     return app
 
--- a/packages/standins/src/hemlockhall_standins/table.py
+++ b/packages/standins/src/hemlockhall_standins/table.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's transactional table service."""
+"""Simulated transactional table service of the platform."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from hemlockhall_standins.web import App, Fault, Faults, Request, Response
+from hemlockhall_standins.web import App, Faults, Request, Response, ResponseError
 
 
 @dataclass
 class TableFaults(Faults):
-    """Limits in calls a second; beyond them the answer is 429.
+    """Rate limits in calls per second, beyond which the response is 429.
 
-    With ``stale``, reads show the rows as they were when it was set. With
-    ``down_after_write`` the service goes down with its next write.
+    With ``stale``, reads of single rows return them as they were at the first such
+    read. With ``down_after_write``, the service goes down with its next write.
     """
 
     writes_per_s: float = 400.0
@@ -24,17 +24,19 @@
 
 
 @dataclass
-class Bucket:
-    """A token bucket."""
+class TokenBucket:
+    """Token bucket that holds at most one second of tokens."""
 
     tokens: float = 0.0
-    at: float = field(default_factory=time.monotonic)
+    refilled_at: float = field(default_factory=time.monotonic)
 
-    def take(self, rate: float) -> bool:
-        """Take a token, if there is one."""
+    def try_acquire(self, rate_per_s: float) -> bool:
+        """Refill at a rate and take a token; return False if there is none."""
         now = time.monotonic()
-        self.tokens = min(rate, self.tokens + (now - self.at) * rate)
-        self.at = now
+        self.tokens = min(
+            rate_per_s, self.tokens + (now - self.refilled_at) * rate_per_s
+        )
+        self.refilled_at = now
         if self.tokens < 1:
             return False
         self.tokens -= 1
@@ -42,15 +44,15 @@
 
 
 class Table:
-    """Rows in memory; each has a value and a version."""
+    """Rows in memory, each a value with the version of its last write."""
 
     def __init__(self) -> None:
         self.rows: dict[str, tuple[Any, int]] = {}
         self.tally = {"reads": 0, "writes": 0, "limited": 0}
         self.faults = TableFaults()
-        self._reads = Bucket(2000.0)
-        self._writes = Bucket(400.0)
-        self._clock = 0
+        self._reads = TokenBucket(2000.0)
+        self._writes = TokenBucket(400.0)
+        self._last_version = 0
         self._snapshot: dict[str, tuple[Any, int]] | None = None
 
     def app(self) -> App:
@@ -62,12 +64,12 @@
         app.route("GET", "/tally")(self._tally)
         return app
 
-    def _limit(self, bucket: Bucket, rate: float) -> None:
-        if not bucket.take(rate):
+    def _check_rate(self, bucket: TokenBucket, rate_per_s: float) -> None:
+        if not bucket.try_acquire(rate_per_s):
             self.tally["limited"] += 1
-            raise Fault(Response({"error": "rate"}, 429, {"retry-after": "1"}))
+            raise ResponseError(Response({"error": "rate"}, 429, {"retry-after": "1"}))
 
-    def _shown(self) -> dict[str, tuple[Any, int]]:
+    def _visible_rows(self) -> dict[str, tuple[Any, int]]:
         if not self.faults.stale:
             self._snapshot = None
             return self.rows
@@ -76,17 +78,17 @@
         return self._snapshot
 
     async def _read(self, req: Request) -> Response:
-        self._limit(self._reads, self.faults.reads_per_s)
+        self._check_rate(self._reads, self.faults.reads_per_s)
         self.tally["reads"] += 1
         key = req.groups[0]
-        rows = self._shown()
+        rows = self._visible_rows()
         if key not in rows:
             return Response({"error": "no row"}, 404)
         value, version = rows[key]
         return Response({"key": key, "value": value, "version": version})
 
     async def _scan(self, req: Request) -> Response:
-        self._limit(self._reads, self.faults.reads_per_s)
+        self._check_rate(self._reads, self.faults.reads_per_s)
         self.tally["reads"] += 1
         prefix = req.query.get("prefix", "")
         keys = sorted((k for k in self.rows if k.startswith(prefix)), reverse=True)
@@ -97,22 +99,22 @@
         return Response(found)
 
     async def _commit(self, req: Request) -> Response:
-        self._limit(self._writes, self.faults.writes_per_s)
-        asked = req.json()
+        self._check_rate(self._writes, self.faults.writes_per_s)
+        body = req.json()
         conflicts = []
-        for check in asked["checks"]:
+        for check in body["checks"]:
             if self.rows.get(check["key"], (None, 0))[1] != check["version"]:
                 conflicts.append(check["key"])
         if conflicts:
             return Response({"conflicts": conflicts}, 409)
         self.tally["writes"] += 1
-        self._clock += 1
+        self._last_version += 1
         self.faults.down |= self.faults.down_after_write
-        for put in asked["puts"]:
-            self.rows[put["key"]] = (put["value"], self._clock)
-        for key in asked["deletes"]:
+        for put in body["puts"]:
+            self.rows[put["key"]] = (put["value"], self._last_version)
+        for key in body["deletes"]:
             self.rows.pop(key, None)
-        return Response({"version": self._clock})
+        return Response({"version": self._last_version})
 
     async def _tally(self, req: Request) -> Response:
         return Response(self.tally)
--- a/packages/standins/src/hemlockhall_standins/web.py
+++ b/packages/standins/src/hemlockhall_standins/web.py
@@ -1,4 +1,4 @@
-"""A few lines of HTTP server that all stand-ins share."""
+"""Minimal HTTP server with injectable faults, shared by the stand-ins."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     from collections.abc import Awaitable, Callable
 
 
-UNDISTURBED = ("/faults", "/calls", "/tally")
+FAULT_EXEMPT_PATHS = ("/faults", "/calls", "/tally")
 
 
 @dataclass
@@ -37,15 +37,15 @@
 
 @dataclass
 class Response:
-    """What a stand-in answers; without a status the connection hangs."""
+    """Response of a stand-in; ``value`` is sent as text or bytes, else as JSON."""
 
     value: Any = None
     status: int = 200
     headers: dict[str, str] = field(default_factory=dict)
 
 
-class Fault(Exception):
-    """A fault that is switched on: the answer to give instead."""
+class ResponseError(Exception):
+    """Raised by a handler to send another response than its result."""
 
     def __init__(self, response: Response) -> None:
         super().__init__(response.status)
@@ -54,12 +54,12 @@
 
 @dataclass
 class Faults:
-    """The faults that every stand-in has, set by ``POST /faults``.
+    """Faults that every stand-in has, set by ``POST /faults``.
 
-    ``delay_s`` is waited before each answer; ``down`` answers 503 to all;
-    ``lose_answers`` is a count of answers that are lost after the work, and
-    ``down_after_loss`` sets ``down`` with the last of them.
-    ``answer_delay_s`` is waited after the work.
+    ``delay_s`` delays each request before it is handled, ``answer_delay_s`` after
+    it took effect. ``down`` responds 503 to every request. The next ``lose_answers``
+    requests other than GET take effect but get 504 for their response, and
+    ``down_after_loss`` sets ``down`` with each of these.
     """
 
     delay_s: float = 0.0
@@ -70,7 +70,7 @@
 
 
 class App:
-    """An ASGI application with routes, and faults switched by HTTP."""
+    """ASGI application with routes, and with faults that are set over HTTP."""
 
     def __init__(self, faults: Faults | None = None) -> None:
         self.faults = faults or Faults()
@@ -104,7 +104,7 @@
         receive: Callable[[], Awaitable[dict[str, Any]]],
         send: Callable[[dict[str, Any]], Awaitable[None]],
     ) -> None:
-        """Answer one request."""
+        """Serve one request."""
         if scope["type"] == "lifespan":
             await _lifespan(receive, send)
             return
@@ -122,16 +122,16 @@
             {name.decode(): value.decode() for name, value in scope["headers"]},
             body,
         )
-        response = await self._answer(req)
+        response = await self._respond(req)
         await _send(send, response)
 
-    async def _answer(self, req: Request) -> Response:
+    async def _respond(self, req: Request) -> Response:
         for method, pattern, handler in self._routes:
             match = pattern.fullmatch(req.path)
             if method != req.method or not match:
                 continue
             req.groups = match.groups()
-            if req.path in UNDISTURBED:
+            if req.path in FAULT_EXEMPT_PATHS:
                 return await handler(req)
             self.calls += 1
             if self.faults.down:
@@ -140,7 +140,7 @@
                 await anyio.sleep(self.faults.delay_s)
             try:
                 response = await handler(req)
-            except Fault as exc:
+            except ResponseError as exc:
                 return exc.response
             if self.faults.answer_delay_s:
                 await anyio.sleep(self.faults.answer_delay_s)
@@ -164,11 +164,11 @@
     if isinstance(response.value, (bytes, str)):
         value = response.value
         data = value if isinstance(value, bytes) else value.encode()
-        kind = b"text/plain; charset=utf-8"
+        content_type = b"text/plain; charset=utf-8"
     else:
         data = json.dumps(response.value).encode()
-        kind = b"application/json"
-    headers = [(b"content-type", kind)]
+        content_type = b"application/json"
+    headers = [(b"content-type", content_type)]
     for name, text in response.headers.items():
         headers.append((name.encode(), text.encode()))
     start = {"type": "http.response.start", "status": response.status}
@@ -177,7 +177,7 @@
 
 
 def run(app: App, listen: str, *tasks: Callable[[], Awaitable[None]]) -> None:
-    """Serve until the process is ended, with background tasks beside."""
+    """Serve until the process ends, and run background tasks."""
     cfg = Config()
     cfg.bind = [listen]
     cfg.accesslog = None
@@ -197,7 +197,7 @@
 
 __all__ = [
     "App",
-    "Fault",
+    "ResponseError",
     "Faults",
     "Request",
     "Response",
--- a/tests/core/version/test_repository.py
+++ b/tests/core/version/test_repository.py
@@ -125,7 +125,7 @@
     def test_lost_answer(self, platform: Platform) -> None:
         async def run() -> None:
             await submit(platform, 0)
-            platform.fault("table", lose_answers=1)
+            platform.set_faults("table", lose_answers=1)
             accepted = await submit(platform, 1, customers=customer("abbey"))
             assert (accepted.version, accepted.tries) == (2, 1)
             assert (await repository(platform).head()).version == 2
--- a/tests/daemon/process/test_web.py
+++ b/tests/daemon/process/test_web.py
@@ -15,26 +15,26 @@
 import pytest
 
 from hemlockhall_core.request.reason import RefusalReason, RetryReason
-from hemlockhall_standins.caller import ask, prompt_text
+from hemlockhall_standins.caller import chat_body, prompt_text
 from hemlockhall_standins.deployment import (
     API_KEY,
     LAYERS,
     MODEL,
     Deployment,
-    EndpointPlan,
+    EndpointSpec,
 )
-from hemlockhall_standins.engine import reference_answer
+from hemlockhall_standins.engine import reference_text
 
 PLANS = [
-    EndpointPlan("a1", "tall", "attica-1", 0, LAYERS),
-    EndpointPlan("loft-1", "plain", "attica-1", service="booking"),
+    EndpointSpec("a1", "tall", "attica-1", 0, LAYERS),
+    EndpointSpec("loft-1", "plain", "attica-1", service="booking"),
 ]
 CHAT = "/v1/chat/completions"
 
 
 @pytest.fixture(scope="module")
 def deployment() -> Iterator[Deployment]:
-    with Deployment(PLANS, entries=1) as running:
+    with Deployment(PLANS, entry_count=1) as running:
         yield running
 
 
@@ -62,9 +62,9 @@
         assert listed == ["organ-12b", "organ-notices"]
 
     def test_chat_completion_is_complete(self, client: httpx.Client) -> None:
-        response = client.post(CHAT, json=ask("Notice", 6, stream=False)).json()
+        response = client.post(CHAT, json=chat_body("Notice", 6, stream=False)).json()
         text = response["choices"][0]["message"]["content"]
-        assert text == reference_answer(prompt_text("Notice"), 6, LAYERS)
+        assert text == reference_text(prompt_text("Notice"), 6, LAYERS)
         assert response["usage"] == {
             "prompt_tokens": 3,
             "completion_tokens": 6,
@@ -77,7 +77,7 @@
         body = {"model": "organ-notices", "prompt": "Notice", "max_tokens": 4}
         response = client.post("/v1/completions", json=body).json()
         assert response["choices"][0]["finish_reason"] == "length"
-        plain = reference_answer("Notice", 4, LAYERS)
+        plain = reference_text("Notice", 4, LAYERS)
         assert response["choices"][0]["text"] not in ("", plain)
 
     def test_completion_is_streamed_as_events(self, client: httpx.Client) -> None:
@@ -85,7 +85,7 @@
         lines = client.post("/v1/completions", json=body).text.split("\n\n")
         assert lines[-2:] == ["data: [DONE]", ""]
         texts = [json.loads(line[6:])["choices"][0]["text"] for line in lines[:-2]]
-        assert "".join(texts) == reference_answer("Notice", 3, LAYERS)
+        assert "".join(texts) == reference_text("Notice", 3, LAYERS)
 
 
 class TestRefusals:
@@ -108,7 +108,7 @@
         check_problem(response, RefusalReason.BODY_TOO_LARGE, 413)
 
     def test_unknown_model_is_refused(self, client: httpx.Client) -> None:
-        body = ask("x", 1, stream=True, model="flute")
+        body = chat_body("x", 1, stream=True, model="flute")
         check_problem(client.post(CHAT, json=body), RefusalReason.UNKNOWN_MODEL, 404)
 
     def test_unknown_api_key_does_not_reach_the_engine(
@@ -116,14 +116,16 @@
     ) -> None:
         before = len(deployment.tally("a1")["steps"])
         with deployment.client(key="wrong") as client:
-            response = client.post(CHAT, json=ask("x", 1, stream=False))
+            response = client.post(CHAT, json=chat_body("x", 1, stream=False))
         check_problem(response, RefusalReason.UNAUTHORIZED, 401)
         assert len(deployment.tally("a1")["steps"]) == before
 
     @pytest.mark.parametrize("text", ["soon", "-1", "0", "1e9", "nan"])
     def test_invalid_deadline_is_refused(self, client: httpx.Client, text: str) -> None:
         headers = {"x-deadline-seconds": text}
-        response = client.post(CHAT, json=ask("x", 1, stream=False), headers=headers)
+        response = client.post(
+            CHAT, json=chat_body("x", 1, stream=False), headers=headers
+        )
         check_problem(response, RefusalReason.BAD_DEADLINE, 400)
 
     def test_unknown_path_service_and_call_are_refused(
@@ -185,21 +187,21 @@
         self, deployment: Deployment, client: httpx.Client, data: bytes
     ) -> None:
         before = deployment.counter("a1", "batches", "malformed")
-        address = deployment.nodes["a1"].link
+        address = deployment.endpoints["a1"].link
         with pynng.Push0(dial=f"tcp://{address}", block_on_dial=True) as sock:
             sock.send(data)
-            response = client.post(CHAT, json=ask("Notice", 2, stream=False))
+            response = client.post(CHAT, json=chat_body("Notice", 2, stream=False))
             assert response.status_code == 200
             while deployment.counter("a1", "batches", "malformed") == before:
-                assert deployment.running("a1")
+                assert deployment.is_running("a1")
 
     def test_bytes_of_another_protocol_do_not_end_the_process(
         self, deployment: Deployment, client: httpx.Client
     ) -> None:
-        host, port = deployment.nodes["a1"].link.split(":")
+        host, port = deployment.endpoints["a1"].link.split(":")
         with socket.create_connection((host, int(port))) as sock:
             sock.sendall(b"GET / HTTP/1.1\r\n\r\n" * 50)
-        response = client.post(CHAT, json=ask("Notice", 2, stream=False))
+        response = client.post(CHAT, json=chat_body("Notice", 2, stream=False))
         assert response.status_code == 200
 
 
@@ -207,22 +209,22 @@
     def test_api_keys_are_not_logged(
         self, deployment: Deployment, client: httpx.Client
     ) -> None:
-        client.post(CHAT, json=ask("Notice", 2, stream=False))
+        client.post(CHAT, json=chat_body("Notice", 2, stream=False))
         client.get("/nowhere")
         for name in ("entry-1", "a1", "loft-1"):
-            assert API_KEY not in deployment.log(name)
+            assert API_KEY not in deployment.read_log(name)
 
 
 class TestSettings:
     def start(self, deployment: Deployment, path: Path) -> subprocess.CompletedProcess:
-        program = deployment.program("hemlockhalld")
+        program = deployment.program_path("hemlockhalld")
         args = [program, "side", "--settings", str(path)]
         return subprocess.run(args, capture_output=True, text=True, check=False)
 
     def test_all_errors_of_the_settings_are_listed(
         self, deployment: Deployment, tmp_path: Path
     ) -> None:
-        text = deployment.nodes["a1"].settings.read_text()
+        text = deployment.endpoints["a1"].settings.read_text()
         text = text.replace('kind = "engine"', 'kind = "motor"')
         text = text.replace("step_timeout_s = 2.0", 'step_timeout_s = "long"')
         path = tmp_path / "side.toml"
@@ -235,8 +237,8 @@
     def test_check_settings_does_not_start_the_process(
         self, deployment: Deployment
     ) -> None:
-        program = deployment.program("hemlockhalld")
-        path = str(deployment.nodes["a1"].settings)
+        program = deployment.program_path("hemlockhalld")
+        path = str(deployment.endpoints["a1"].settings)
         args = [program, "side", "--check-settings", "--settings", path]
         completed = subprocess.run(args, capture_output=True, text=True, check=False)
         assert (completed.returncode, completed.stdout) == (
@@ -245,7 +247,7 @@
         )
 
     def test_address_in_use_is_reported(self, deployment: Deployment) -> None:
-        completed = self.start(deployment, deployment.nodes["a1"].settings)
+        completed = self.start(deployment, deployment.endpoints["a1"].settings)
         assert completed.returncode == 1
         assert "set link.address to a free address" in completed.stderr
-        assert deployment.running("a1")
+        assert deployment.is_running("a1")
