--- a/tests/router/test_store.py
+++ b/tests/router/test_store.py
@@ -39,10 +39,10 @@
         """Long polls miss a change, and then its history is compacted: only reading
         the whole table can deliver it."""
         async with router_harness(ROUTES) as harness:
-            harness.store.mute = True
+            harness.store.hide_changes = True
             harness.configure()
-            harness.store.forget()
-            harness.store.mute = False
+            harness.store.compact_history()
+            harness.store.hide_changes = False
             await harness.wait_until(lambda: harness.routers[0].routing.version == 2)
 
     async def test_a_host_without_the_store_gets_changes_from_a_peer(self) -> None:
