--- a/packages/core/src/hemlockhall_core/process/table.py
+++ b/packages/core/src/hemlockhall_core/process/table.py
@@ -84,7 +84,7 @@
         """Raise :class:`StoreUnavailableError` during a backoff."""
         remaining_s = self.deadline - time.monotonic()
         if remaining_s > 0:
-            msg = "the store failed recently and is not called during its backoff"
+            msg = "the store failed a moment ago and is left alone for now"
             raise StoreUnavailableError(msg, remaining_s)
 
     def record_lost_response(self) -> None:
@@ -129,26 +129,20 @@
         except NOT_SENT_ERRORS as exc:
             self._count("unavailable")
             delay_s = self._backoff.record_failure()
-            raise StoreUnavailableError(
-                f"cannot connect to the store: {exc}", delay_s
-            ) from exc
+            raise StoreUnavailableError(f"no connection: {exc}", delay_s) from exc
         except httpx.HTTPError as exc:
             self._count("unknown")
             self._backoff.record_lost_response()
-            raise StoreOutcomeUnknownError(
-                f"no response from the store: {exc!r}"
-            ) from exc
+            raise StoreOutcomeUnknownError(f"no answer: {exc!r}") from exc
         if response.status_code in (429, 503):
             self._count("unavailable")
             delay_s = self._backoff.record_failure()
-            msg = f"the store responded with status {response.status_code}"
+            msg = f"the store answered {response.status_code}"
             raise StoreUnavailableError(msg, delay_s)
         if response.status_code >= 500:
             self._count("unknown")
             self._backoff.record_lost_response()
-            raise StoreOutcomeUnknownError(
-                f"the store responded with status {response.status_code}"
-            )
+            raise StoreOutcomeUnknownError(f"the store answered {response.status_code}")
         self._count("answered")
         self._backoff.record_success()
         return response
--- a/packages/daemon/src/hemlockhalld/request/claim.py
+++ b/packages/daemon/src/hemlockhalld/request/claim.py
@@ -102,7 +102,7 @@
             if result is not None:
                 return result
         self._abandon(key, claim)
-        raise StoreUnavailableError("the claim could not be confirmed", 1.0)
+        raise StoreUnavailableError("the claim could not be settled", 1.0)
 
     async def _read_back(self, key: str, claim: Claim) -> ClaimResult | None:
         """Read the holder of the key after a lost response or a conflict."""
--- a/packages/daemon/src/hemlockhalld/request/generation.py
+++ b/packages/daemon/src/hemlockhalld/request/generation.py
@@ -154,7 +154,7 @@
             if pipeline:
                 break
             if self.attempt == 0 or time.monotonic() > give_up_deadline:
-                detail = f"no pipeline of ready endpoints for {self.params.model.name}"
+                detail = f"no chain of endpoints holds {self.params.model.name}"
                 raise Problem(
                     RefusalReason.NO_ENDPOINT, detail, self.ran, RETRY_AFTER_S
                 )
@@ -171,7 +171,7 @@
             "retrying the generation: {}", reason.value
         )
         if self.attempt > self.max_retries:
-            detail = f"{self.max_retries} retries failed, the last: {reason.value}"
+            detail = f"{self.max_retries} repairs failed, the last: {reason.value}"
             raise Problem(
                 RefusalReason.REPAIR_EXHAUSTED, detail, self.ran, RETRY_AFTER_S
             )
--- a/packages/router/src/hemlockhall_router/connection/caller.py
+++ b/packages/router/src/hemlockhall_router/connection/caller.py
@@ -102,16 +102,14 @@
             lengths += 1
         elif name == b"transfer-encoding":
             if chunked or value.strip().lower() != b"chunked":
-                raise CallerError(
-                    400, "the only supported Transfer-Encoding is chunked, given once"
-                )
+                raise CallerError(400, "only the transfer coding chunked is read")
             chunked = True
         elif name == b"host":
             hosts += 1
         if key.strip() != key or not key:
-            raise CallerError(400, "a header name is empty or has spaces around it")
+            raise CallerError(400, "a header name has spaces; remove them")
     if lengths > 1 or (lengths and chunked):
-        raise CallerError(400, "send either one Content-Length or Transfer-Encoding")
+        raise CallerError(400, "the length is given twice; send one of them")
     if hosts > 1:
         raise CallerError(400, "more than one Host header; send one")
 
--- a/packages/router/src/hemlockhall_router/process/frontend.py
+++ b/packages/router/src/hemlockhall_router/process/frontend.py
@@ -210,9 +210,7 @@
         route = routing.match(head)
         if route is None:
             raise _RefusedError(
-                RefusalReason.NO_ROUTE,
-                404,
-                "no route matches this Host header and path",
+                RefusalReason.NO_ROUTE, 404, "no route has this host and path"
             )
         customer = self._authenticate(routing, route, head)
         tokens = self._context.dialect.decode_token_counts(head)
@@ -220,9 +218,7 @@
         if now > self._accept_until and self._exit_at - now < _expected_duration_s(
             route, tokens
         ):
-            raise _RefusedError(
-                RefusalReason.LEAVING, 503, "this host is shutting down"
-            )
+            raise _RefusedError(RefusalReason.LEAVING, 503, "this host is about to end")
         name = _choose_service(route)
         service = routing.services.get(name) or Service(name, "/", 0)
         return RoutedRequest(
