--- a/packages/core/src/hemlockhall_core/process/setting.py
+++ b/packages/core/src/hemlockhall_core/process/setting.py
@@ -14,7 +14,7 @@
 
 def _check_address(text: str) -> str:
     if not is_address(text):
-        msg = 'must be an IP number and a port, such as "10.0.0.5:7000"'
+        msg = 'must be an IP address and a port, such as "10.0.0.5:7000"'
         raise ValueError(msg)
     return text
 
--- a/packages/router/src/hemlockhall_router/process/planner.py
+++ b/packages/router/src/hemlockhall_router/process/planner.py
@@ -45,7 +45,7 @@
 PLAN_INTERVAL_S = 0.2
 # The same while nothing is known to have changed.
 IDLE_PLAN_INTERVAL_S = 1.0
-# Concurrent orders for each load that the weight server serves at full speed. More
+# Concurrent orders for each load that the weight store serves at full speed. More
 # would queue there and delay the loads that the layout needs first.
 ORDERS_PER_LOAD = 8
 # Each concurrent order takes connections of this host.
--- a/packages/router/src/hemlockhall_router/version/balance.py
+++ b/packages/router/src/hemlockhall_router/version/balance.py
@@ -17,8 +17,8 @@
     from hemlockhall_router.version.routing import Model
 
 # Orders for one group in one plan beyond which its members that hold layers get no
-# more. All loads share the store from which endpoints read the weights of layers, and
-# the next repair must not wait for too many of them.
+# more. All loads share the weight store, and the next repair must not wait for too many
+# of them.
 MAX_REBALANCE_ORDERS = 4
 # Fill fraction of a member above which empty or redundant members load its excess
 # layers. Up to here it has memory for more than half as many requests as a member at
--- a/packages/router/src/hemlockhall_router/version/layout.py
+++ b/packages/router/src/hemlockhall_router/version/layout.py
@@ -92,8 +92,8 @@
     orders = _interleave(repairs)
     if orders:
         return orders
-    # Loads share the store of the weights, so while a group is being repaired only
-    # members that hold no layers get rebalancing orders.
+    # Loads share the weight store, so while a group is being repaired only members
+    # that hold no layers get rebalancing orders.
     complete = not any(Coverage.retained(model, group).gaps() for group in groups)
     skipped = balanced_states if balanced_states is not None else set()
     newly_balanced: set[GroupState] = set()
--- a/packages/router/src/hemlockhall_router/version/routing.py
+++ b/packages/router/src/hemlockhall_router/version/routing.py
@@ -89,8 +89,9 @@
     ``load_all_layers_s``, ``step_ms`` and ``prefill_tokens_per_s`` are for all layers
     together. Each hop of a token sends ``activation_bytes_per_token``.
     ``data_centre_link_mbps`` is the bandwidth between two data centres in megabits per
-    second. The store from which endpoints load layers serves ``concurrent_loads`` loads
-    at full speed. ``step_ms_per_sequence`` is not used by the router.
+    second. The weight store, from which endpoints load the weights of layers, serves
+    ``concurrent_loads`` loads at full speed. ``step_ms_per_sequence`` is not used by
+    the router.
     """
 
     layers: int
