--- a/packages/router/src/hemlockhall_router/membership/count.py
+++ b/packages/router/src/hemlockhall_router/membership/count.py
@@ -9,12 +9,12 @@
 
 # Hosts assumed until others are heard: a host that believed itself alone would
 # spend the whole allowance of repeats.
-UNKNOWN_HOSTS = 8
+ASSUMED_HOSTS = 8
 # Seconds for which a data centre counts with the most hosts that it had.
-MEMORY_S = 60.0
+PEAK_TTL_S = 60.0
 
 
-class Count:
+class HostCount:
     """The most hosts of each data centre lately.
 
     Hosts that are cut off from each other must not share out anew what all of
@@ -23,23 +23,23 @@
     """
 
     def __init__(self) -> None:
-        self._least = UNKNOWN_HOSTS
-        self._most: dict[str, tuple[int, float]] = {}
+        self._minimum = ASSUMED_HOSTS
+        self._peaks: dict[str, tuple[int, float]] = {}
 
-    def at_least(self, hosts: int) -> None:
+    def set_minimum(self, hosts: int) -> None:
         """Take the number of entries in the table of hosts."""
-        self._least = max(1, hosts)
+        self._minimum = max(1, hosts)
 
-    def hosts(self, places: list[DataCentre], now: float) -> int:
+    def upper_bound(self, data_centres: list[DataCentre], now: float) -> int:
         """Return the most hosts that may be there."""
-        for place in places:
-            most, deadline = self._most.get(place.name, (0, 0.0))
-            if place.hosts >= most or now >= deadline:
-                self._most[place.name] = (place.hosts, now + MEMORY_S)
-        seen = sum(most for most, _ in self._most.values())
-        return max(1, self._least if len(places) <= 1 else 0, seen)
+        for data_centre in data_centres:
+            peak, deadline = self._peaks.get(data_centre.name, (0, 0.0))
+            if data_centre.hosts >= peak or now >= deadline:
+                self._peaks[data_centre.name] = (data_centre.hosts, now + PEAK_TTL_S)
+        total = sum(peak for peak, _ in self._peaks.values())
+        return max(1, self._minimum if len(data_centres) <= 1 else 0, total)
 
 
 __all__ = [
-    "Count",
+    "HostCount",
 ]
--- a/packages/router/src/hemlockhall_router/membership/exchange.py
+++ b/packages/router/src/hemlockhall_router/membership/exchange.py
@@ -21,8 +21,8 @@
     Summary,
     TableVersion,
 )
-from hemlockhall_router.membership.roster import HUBS, Roster
-from hemlockhall_router.membership.tally import add_up, aged, busiest, sum_usage
+from hemlockhall_router.membership.roster import HUBS_PER_DATA_CENTRE, Roster
+from hemlockhall_router.membership.tally import age_loads, busiest, sum_loads, sum_usage
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -33,16 +33,16 @@
 
 # Seconds between two messages to hosts that are not heard: hubs of parted hosts
 # find each other again.
-HEAL_S = 2.0
+RECONNECT_INTERVAL_S = 2.0
 # Hosts that follow the store at least, if there are as many: with fewer all of
 # them may be turned away by it together.
-FOLLOWERS = 3
+MIN_STORE_WATCHERS = 3
 # Rounds between two summaries to another data centre.
 SUMMARY_ROUNDS = 2
 # Contacts, and endpoints that are down or leave, in one message. Contacts take turns.
-CONTACTS = 10
-DOWN = 16
-FACTS = 16
+MAX_CONTACTS = 10
+MAX_ENDPOINT_KEYS = 16
+MAX_LAYER_UPDATES = 16
 
 
 @dataclass(slots=True)
@@ -61,15 +61,15 @@
 
 
 @dataclass(slots=True)
-class _Heard(Generic[M]):
+class _Received(Generic[M]):
     """A message, when it came, and until when it counts."""
 
     message: M
-    at: float
+    received_at: float
     deadline: float
 
     def loads(self, now: float) -> list[Load]:
-        return aged(self.message.loads, now - self.at)
+        return age_loads(self.message.loads, now - self.received_at)
 
 
 class Exchange:
@@ -98,33 +98,33 @@
         own: Contact,
         seeds: list[str],
         timing: Timing,
-        describe: Callable[[], LocalState],
-        copies: Callable[[], list[TableVersion]],
+        get_local_state: Callable[[], LocalState],
+        get_table_versions: Callable[[], list[TableVersion]],
         send: Callable[[str, Message], None],
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self.roster = Roster(own, timing)
         self._seeds = [seed for seed in seeds if seed != own.address]
         self._timing = timing
-        self._describe = describe
-        self._copies = copies
+        self._get_local_state = get_local_state
+        self._get_table_versions = get_table_versions
         self._send = send
-        self._said = LocalState()
+        self._local_state = LocalState()
         self._clock = clock
-        self._reports: dict[str, _Heard[Report]] = {}
-        self._digests: dict[str, _Heard[Digest]] = {}
-        self._summaries: dict[tuple[str, str], _Heard[Summary]] = {}
-        self._rounds = 0
-        self._news = False
-        self._turn = 0
-        self._heal_at = 0.0
+        self._reports: dict[str, _Received[Report]] = {}
+        self._digests: dict[str, _Received[Digest]] = {}
+        self._summaries: dict[tuple[str, str], _Received[Summary]] = {}
+        self._round_number = 0
+        self._push_pending = False
+        self._contact_offset = 0
+        self._next_reconnect_at = 0.0
 
     @property
     def own(self) -> Contact:
         """This host."""
         return self.roster.own
 
-    def meet(self, address: str) -> None:
+    def add_seed(self, address: str) -> None:
         """Try a host of which only the address is known."""
         if address != self.own.address and address not in self._seeds:
             self._seeds.append(address)
@@ -132,34 +132,36 @@
     def run_round(self) -> None:
         """Tell others what is due."""
         now = self._clock()
-        own = self._said = self._describe()
-        self.roster.tell(leaving=own.leaving, cut=own.store_unreachable)
+        state = self._local_state = self._get_local_state()
+        self.roster.update_own(
+            leaving=state.leaving, store_unreachable=state.store_unreachable
+        )
         self._expire(now)
-        report = self._report()
+        report = self._build_report()
         hubs = self.roster.hubs(self.own.data_centre, now)
         for contact in hubs:
             if contact.name != self.own.name:
-                self.roster.asked(contact.name, now)
+                self.roster.record_request(contact.name, now)
                 self._send(contact.address, report)
-        self._heal(report, now)
-        self._rounds += 1
+        self._reconnect(report, now)
+        self._round_number += 1
         if self.own not in hubs:
             return
-        if self._news:
-            self._news = False
+        if self._push_pending:
+            self._push_pending = False
             self.push()
-        elif self._rounds % SUMMARY_ROUNDS == 0:
-            self._summarise(now)
+        elif self._round_number % SUMMARY_ROUNDS == 0:
+            self._send_summaries(now)
 
     def push(self) -> None:
         """Tell all hosts at once what is new, if this one is a hub."""
         now = self._clock()
         if not self.roster.is_hub(now):
             return
-        for heard in list(self._reports.values()):
-            report = heard.message
-            self._send(report.sender.address, self._digest(report, now))
-        self._summarise(now)
+        for received in list(self._reports.values()):
+            report = received.message
+            self._send(report.sender.address, self._build_digest(report, now))
+        self._send_summaries(now)
 
     def receive(self, message: Message) -> None:
         """Take a message, and answer it if it is a report."""
@@ -167,26 +169,26 @@
         sender = message.sender
         if sender.name == self.own.name:
             return
-        new = self.roster.direct(sender, now)
+        new = self.roster.record_message(sender, now)
         if new:
             logger.info("host heard", host=sender.name, address=sender.address)
         for contact in message.contacts:
-            self.roster.relayed(contact, now)
+            self.roster.record_contact(contact, now)
         deadline = now + self._timing.host_timeout_s
         if isinstance(message, Report):
             if sender.data_centre == self.own.data_centre:
-                self._reports[sender.name] = _Heard(message, now, deadline)
-            self._answer(message, now, whole=new)
+                self._reports[sender.name] = _Received(message, now, deadline)
+            self._reply(message, now, all_contacts=new)
         elif isinstance(message, Digest) and sender.data_centre == self.own.data_centre:
-            self._digests[sender.name] = _Heard(message, now, deadline)
+            self._digests[sender.name] = _Received(message, now, deadline)
         elif isinstance(message, Summary):
-            key = (message.place.name, sender.name)
+            key = (message.data_centre.name, sender.name)
             known = self._summaries.get(key)
-            if known is None or known.message.place != message.place:
-                self._news = True
+            if known is None or known.message.data_centre != message.data_centre:
+                self._push_pending = True
             # The other data centre may have lost its hubs, and not its hosts.
             deadline += self._timing.host_timeout_s
-            self._summaries[key] = _Heard(message, now, deadline)
+            self._summaries[key] = _Received(message, now, deadline)
 
     def data_centres(self) -> list[DataCentre]:
         """Return all data centres that are heard of, with this host's own.
@@ -195,36 +197,44 @@
         hosts of its own, from its fellow first.
         """
         now = self._clock()
-        found = {place.name: place for place in self._places(now)}
-        for heard in self._digests.values():
-            if now >= heard.deadline:
+        found = {
+            data_centre.name: data_centre
+            for data_centre in self._known_data_centres(now)
+        }
+        for received in self._digests.values():
+            if now >= received.deadline:
                 continue
-            for place in heard.message.places:
-                known = found.get(place.name)
-                own = place.name == self.own.data_centre
-                if known is None or (own and place.hosts > known.hosts):
-                    found[place.name] = place
+            for data_centre in received.message.data_centres:
+                known = found.get(data_centre.name)
+                is_own = data_centre.name == self.own.data_centre
+                if known is None or (is_own and data_centre.hosts > known.hosts):
+                    found[data_centre.name] = data_centre
         return list(found.values())
 
     def loads(self) -> dict[int, Load]:
         """Return the other hosts' loads by the endpoint's key."""
         now = self._clock()
         if self.roster.is_hub(now):
-            return add_up(self._loads(None, now))
-        latest = self._latest(now)
-        return {load.endpoint: load for load in latest.loads(now)} if latest else {}
+            return sum_loads(self._known_loads(None, now))
+        digest = self._current_digest(now)
+        return {load.endpoint: load for load in digest.loads(now)} if digest else {}
 
     def peer_store_stable(self) -> bool:
         """Return whether another host says that it had the store all the while."""
         now = self._clock()
-        if any(heard.message.steady for heard in self._reports.values()):
+        if any(received.message.store_stable for received in self._reports.values()):
             return True
-        if any(heard.message.place.steady for heard in self._foreign(now)):
+        if any(
+            received.message.data_centre.store_stable
+            for received in self._remote_summaries(now)
+        ):
             return True
-        latest = self._latest(now)
-        if latest is None or self.roster.is_hub(now):
+        digest = self._current_digest(now)
+        if digest is None or self.roster.is_hub(now):
             return False
-        return any(place.steady for place in latest.message.places)
+        return any(
+            data_centre.store_stable for data_centre in digest.message.data_centres
+        )
 
     def is_store_watcher(self) -> bool:
         """Return whether this host is one of those that follow the store.
@@ -232,210 +242,240 @@
         The first host of each data centre is; the second one too while there
         are few data centres.
         """
-        names = self.roster.followers(self._followers_each(), self._clock())
+        names = self.roster.store_watchers(
+            self._watchers_per_data_centre(), self._clock()
+        )
         return self.own.name in names
 
-    def followers(self) -> int:
+    def store_watcher_count(self) -> int:
         """Return how many hosts follow the store."""
-        each = self._followers_each()
-        return sum(min(each, place.hosts) for place in self.data_centres())
+        per_data_centre = self._watchers_per_data_centre()
+        return sum(
+            min(per_data_centre, data_centre.hosts)
+            for data_centre in self.data_centres()
+        )
 
-    def _followers_each(self) -> int:
-        return 1 if len(self.data_centres()) >= FOLLOWERS else HUBS
+    def _watchers_per_data_centre(self) -> int:
+        return (
+            1
+            if len(self.data_centres()) >= MIN_STORE_WATCHERS
+            else HUBS_PER_DATA_CENTRE
+        )
 
-    def _answer(self, report: Report, now: float, *, whole: bool) -> None:
+    def _reply(self, report: Report, now: float, *, all_contacts: bool) -> None:
         """Answer a report; a host that is new here gets all contacts at once."""
         count = (
-            len(self.roster.contacts(report.sender.data_centre, now)) if whole else 0
+            len(self.roster.contacts(report.sender.data_centre, now))
+            if all_contacts
+            else 0
         )
-        for _ in range(1 + count // CONTACTS):
-            self._send(report.sender.address, self._digest(report, now))
+        for _ in range(1 + count // MAX_CONTACTS):
+            self._send(report.sender.address, self._build_digest(report, now))
 
-    def _report(self) -> Report:
-        own = self._said
+    def _build_report(self) -> Report:
+        state = self._local_state
         return Report(
             sender=self.own,
-            table_versions=self._copies(),
-            loads=busiest(own.loads),
-            down=own.down[:DOWN],
-            presumed_draining=own.presumed_draining[:DOWN],
-            layer_updates=own.layer_updates[:FACTS],
+            table_versions=self._get_table_versions(),
+            loads=busiest(state.loads),
+            down=state.down[:MAX_ENDPOINT_KEYS],
+            presumed_draining=state.presumed_draining[:MAX_ENDPOINT_KEYS],
+            layer_updates=state.layer_updates[:MAX_LAYER_UPDATES],
             contacts=[],
-            fence=own.fence,
-            steady=own.store_stable,
-            usage=own.usage,
+            fence=state.fence,
+            store_stable=state.store_stable,
+            usage=state.usage,
         )
 
-    def _digest(self, report: Report, now: float) -> Digest:
-        own, receiver = self._said, report.sender
+    def _build_digest(self, report: Report, now: float) -> Digest:
+        state, receiver = self._local_state, report.sender
         if self.roster.is_hub(now):
-            loads = [*own.loads, *self._loads(receiver.name, now)]
-            down = [*own.down, *self._down(now)]
-            shut = [*own.presumed_draining, *self._shut(now)]
+            loads = [*state.loads, *self._known_loads(receiver.name, now)]
+            down = [*state.down, *self._known_down(now)]
+            presumed_draining = [
+                *state.presumed_draining,
+                *self._known_presumed_draining(now),
+            ]
         else:
-            latest = self._latest(now)
-            loads = [*own.loads, *(latest.loads(now) if latest else ())]
-            down, shut = own.down, own.presumed_draining
+            digest = self._current_digest(now)
+            loads = [*state.loads, *(digest.loads(now) if digest else ())]
+            down, presumed_draining = state.down, state.presumed_draining
         return Digest(
             sender=self.own,
-            table_versions=self._copies(),
-            loads=busiest(add_up(loads).values()),
-            down=_first(down),
-            presumed_draining=_first(shut),
-            layer_updates=own.layer_updates[:FACTS],
-            contacts=self._some(receiver.data_centre, receiver.name, now),
-            places=self._places(now),
+            table_versions=self._get_table_versions(),
+            loads=busiest(sum_loads(loads).values()),
+            down=_unique_keys(down),
+            presumed_draining=_unique_keys(presumed_draining),
+            layer_updates=state.layer_updates[:MAX_LAYER_UPDATES],
+            contacts=self._select_contacts(receiver.data_centre, receiver.name, now),
+            data_centres=self._known_data_centres(now),
         )
 
-    def _summarise(self, now: float) -> None:
+    def _send_summaries(self, now: float) -> None:
         """Tell the hubs of the other data centres about this one."""
-        place = self._own_place()
-        loads = [*self._said.loads]
-        down, shut = [*self._said.down], [*self._said.presumed_draining]
-        for heard in self._reports.values():
-            loads += heard.loads(now)
-            down += heard.message.down
-            shut += heard.message.presumed_draining
-        loads = busiest(add_up(loads).values())
-        for name in self.roster.places(now):
+        data_centre = self._own_data_centre()
+        loads = [*self._local_state.loads]
+        down, presumed_draining = (
+            [*self._local_state.down],
+            [*self._local_state.presumed_draining],
+        )
+        for received in self._reports.values():
+            loads += received.loads(now)
+            down += received.message.down
+            presumed_draining += received.message.presumed_draining
+        loads = busiest(sum_loads(loads).values())
+        for name in self.roster.data_centres(now):
             if name == self.own.data_centre:
                 continue
             for contact in self.roster.hubs(name, now):
                 message = Summary(
                     sender=self.own,
-                    table_versions=self._copies(),
+                    table_versions=self._get_table_versions(),
                     loads=loads,
-                    down=_first(down),
-                    presumed_draining=_first(shut),
-                    layer_updates=self._said.layer_updates[:FACTS],
-                    contacts=self._some(name, contact.name, now),
-                    place=place,
+                    down=_unique_keys(down),
+                    presumed_draining=_unique_keys(presumed_draining),
+                    layer_updates=self._local_state.layer_updates[:MAX_LAYER_UPDATES],
+                    contacts=self._select_contacts(name, contact.name, now),
+                    data_centre=data_centre,
                 )
                 self._send(contact.address, message)
 
-    def _some(self, place: str, receiver: str, now: float) -> list[Contact]:
+    def _select_contacts(
+        self, data_centre: str, receiver: str, now: float
+    ) -> list[Contact]:
         """Return the hubs of a data centre, and the contacts whose turn it is."""
-        hubs = {contact.name for contact in self.roster.hubs(place, now)}
-        first, others = [], []
-        for contact in self.roster.contacts(place, now):
+        hubs = {contact.name for contact in self.roster.hubs(data_centre, now)}
+        hub_contacts, others = [], []
+        for contact in self.roster.contacts(data_centre, now):
             if contact.name == receiver:
                 continue
-            (first if contact.name in hubs else others).append(contact)
-        if len(others) > CONTACTS:
-            self._turn = (self._turn + CONTACTS) % len(others)
-            others = (others[self._turn :] + others[: self._turn])[:CONTACTS]
-        return first + others
-
-    def _places(self, now: float) -> list[DataCentre]:
+            (hub_contacts if contact.name in hubs else others).append(contact)
+        if len(others) > MAX_CONTACTS:
+            self._contact_offset = (self._contact_offset + MAX_CONTACTS) % len(others)
+            others = (others[self._contact_offset :] + others[: self._contact_offset])[
+                :MAX_CONTACTS
+            ]
+        return hub_contacts + others
+
+    def _known_data_centres(self, now: float) -> list[DataCentre]:
         """Return what this host passes on; never what a fellow hub had from it."""
         if not self.roster.is_hub(now):
-            latest = self._latest(now)
-            if latest is not None:
-                return latest.message.places
-        return [self._own_place(), *(s.message.place for s in self._foreign(now))]
-
-    def _own_place(self) -> DataCentre:
-        own = self._said
-        hosts, staying = 1, 0 if own.leaving else 1
-        first = "" if own.leaving else self.own.name
-        fence, steady = own.fence, own.store_stable
-        usage = [*own.usage]
-        for heard in self._reports.values():
-            report = heard.message
+            digest = self._current_digest(now)
+            if digest is not None:
+                return digest.message.data_centres
+        return [
+            self._own_data_centre(),
+            *(s.message.data_centre for s in self._remote_summaries(now)),
+        ]
+
+    def _own_data_centre(self) -> DataCentre:
+        state = self._local_state
+        hosts, active_hosts = 1, 0 if state.leaving else 1
+        lowest_name = "" if state.leaving else self.own.name
+        fence, store_stable = state.fence, state.store_stable
+        usage = [*state.usage]
+        for received in self._reports.values():
+            report = received.message
             hosts += 1
             fence = max(fence, report.fence)
-            steady = steady or report.steady
+            store_stable = store_stable or report.store_stable
             usage += report.usage
             if report.sender.leaving:
                 continue
-            staying += 1
-            first = min(first or report.sender.name, report.sender.name)
+            active_hosts += 1
+            lowest_name = min(lowest_name or report.sender.name, report.sender.name)
         return DataCentre(
-            self.own.data_centre, hosts, staying, first, fence, steady, sum_usage(usage)
+            self.own.data_centre,
+            hosts,
+            active_hosts,
+            lowest_name,
+            fence,
+            store_stable,
+            sum_usage(usage),
         )
 
-    def _foreign(self, now: float) -> list[_Heard[Summary]]:
+    def _remote_summaries(self, now: float) -> list[_Received[Summary]]:
         """Return one summary for each other data centre.
 
         The fullest, as a hub that has just started knows few hosts, unless its
         hub is silent.
         """
 
-        def rank(heard: _Heard[Summary]) -> tuple[bool, int]:
-            fresh = now - heard.at < self._timing.host_timeout_s
-            return (fresh, heard.message.place.hosts)
+        def rank(received: _Received[Summary]) -> tuple[bool, int]:
+            fresh = now - received.received_at < self._timing.host_timeout_s
+            return (fresh, received.message.data_centre.hosts)
 
-        found: dict[str, _Heard[Summary]] = {}
-        for heard in self._summaries.values():
-            place = heard.message.place
-            if place.name == self.own.data_centre:
+        found: dict[str, _Received[Summary]] = {}
+        for received in self._summaries.values():
+            data_centre = received.message.data_centre
+            if data_centre.name == self.own.data_centre:
                 continue
-            known = found.get(place.name)
-            if known is None or rank(heard) > rank(known):
-                found[place.name] = heard
+            known = found.get(data_centre.name)
+            if known is None or rank(received) > rank(known):
+                found[data_centre.name] = received
         return list(found.values())
 
-    def _loads(self, without: str | None, now: float) -> list[Load]:
+    def _known_loads(self, excluded: str | None, now: float) -> list[Load]:
         loads: list[Load] = []
-        for name, heard in self._reports.items():
-            if name != without:
-                loads += heard.loads(now)
-        for summary in self._foreign(now):
+        for name, received in self._reports.items():
+            if name != excluded:
+                loads += received.loads(now)
+        for summary in self._remote_summaries(now):
             loads += summary.loads(now)
         return loads
 
-    def _down(self, now: float) -> list[int]:
+    def _known_down(self, now: float) -> list[int]:
         down: list[int] = []
-        for heard in self._reports.values():
-            down += heard.message.down
-        for summary in self._foreign(now):
+        for received in self._reports.values():
+            down += received.message.down
+        for summary in self._remote_summaries(now):
             down += summary.message.down
         return down
 
-    def _shut(self, now: float) -> list[int]:
-        shut: list[int] = []
+    def _known_presumed_draining(self, now: float) -> list[int]:
+        presumed_draining: list[int] = []
         for report in self._reports.values():
-            shut += report.message.presumed_draining
-        for summary in self._foreign(now):
-            shut += summary.message.presumed_draining
-        return shut
+            presumed_draining += report.message.presumed_draining
+        for summary in self._remote_summaries(now):
+            presumed_draining += summary.message.presumed_draining
+        return presumed_draining
 
-    def _latest(self, now: float) -> _Heard[Digest] | None:
+    def _current_digest(self, now: float) -> _Received[Digest] | None:
         """Return the digest of the best hub that answers, or None."""
         for contact in self.roster.hubs(self.own.data_centre, now):
-            heard = self._digests.get(contact.name)
-            if heard is not None and now < heard.deadline:
-                return heard
+            received = self._digests.get(contact.name)
+            if received is not None and now < received.deadline:
+                return received
         return None
 
-    def _heal(self, report: Report, now: float) -> None:
+    def _reconnect(self, report: Report, now: float) -> None:
         """Try hosts that are not heard: all seeds while nobody is, else one."""
         live = {m.contact.address for m in self.roster.live(now)}
         silent = [seed for seed in self._seeds if seed not in live]
         if not live:
             for address in silent:
                 self._send(address, report)
-        if now < self._heal_at or not self.roster.is_hub(now):
+        if now < self._next_reconnect_at or not self.roster.is_hub(now):
             return
-        self._heal_at = now + HEAL_S
-        silent += [m.contact.address for m in self.roster.lost(now)]
+        self._next_reconnect_at = now + RECONNECT_INTERVAL_S
+        silent += [m.contact.address for m in self.roster.silent(now)]
         if silent:
             self._send(random.choice(silent), report)  # noqa: S311
 
     def _expire(self, now: float) -> None:
         for table in (self._reports, self._digests, self._summaries):
-            for key in [k for k, heard in table.items() if now >= heard.deadline]:
-                heard = table.pop(key)
+            for key in [k for k, received in table.items() if now >= received.deadline]:
+                received = table.pop(key)
                 if table is self._reports:
-                    self._news = True
-                    logger.info("host silent", host=heard.message.sender.name)
+                    self._push_pending = True
+                    logger.info("host silent", host=received.message.sender.name)
         for contact in self.roster.forget(now):
             logger.info("host forgotten", host=contact.name, address=contact.address)
 
 
-def _first(keys: list[int]) -> list[int]:
+def _unique_keys(keys: list[int]) -> list[int]:
     """Return as many different keys as a message takes."""
-    return list(dict.fromkeys(keys))[:DOWN]
+    return list(dict.fromkeys(keys))[:MAX_ENDPOINT_KEYS]
 
 
 __all__ = [
--- a/packages/router/src/hemlockhall_router/membership/hosts.py
+++ b/packages/router/src/hemlockhall_router/membership/hosts.py
@@ -20,7 +20,7 @@
 
 from hemlockhall_router.connection.error import TransportError
 from hemlockhall_router.connection.link import Delta, Fetch, Link, TableRow
-from hemlockhall_router.membership.count import Count
+from hemlockhall_router.membership.count import HostCount
 from hemlockhall_router.membership.exchange import Exchange
 from hemlockhall_router.membership.message import (
     Message,
@@ -55,22 +55,22 @@
     from hemlockhall_router.process.watch import Watch
 
 # Seconds in which a host hands over rows; one that does not is cut off or frozen.
-FETCH_S = 0.8
+FETCH_TIMEOUT_S = 0.8
 # Seconds a host that follows the store itself waits before it fetches rows from
 # another one: it gets them from the store at the same time.
-BEHIND_S = 0.15
+STORE_HEAD_START_S = 0.15
 # Times that copies are confirmed in the time in which they grow stale.
-CONFIRMATIONS = 3
+CONFIRMATIONS_PER_STALENESS = 3
 # Part of that time after which the least patient host asks the store. Were all as
 # patient, all of them would ask before they hear of the first one's answer.
-PATIENCE_LEAST = 0.8
+MIN_STALENESS_FACTOR = 0.8
 # Seconds between readings of the table of hosts while nobody is heard.
-ALONE_S = 4.0
-REGISTER_AGAIN_S = 1.0
+READ_HOSTS_INTERVAL_S = 4.0
+REGISTER_RETRY_S = 1.0
 # Seconds that stand for a copy that nobody ever confirmed.
-AGE_MAX_S = 3600.0
+MAX_AGE_S = 3600.0
 # Seconds between two lines on datagrams that cannot be read.
-BAD_AGAIN_S = 1.0
+DROP_LOG_INTERVAL_S = 1.0
 
 
 class HostRow(msgspec.Struct):
@@ -110,30 +110,30 @@
         seeds: list[str],
         store: Store,
         timing: Timing,
-        describe: Callable[[], LocalState],
-        suspect: Callable[[list[int]], None],
-        shut: Callable[[list[int]], None],
-        learn: Callable[[list[LayerUpdate]], None],
+        get_local_state: Callable[[], LocalState],
+        on_down: Callable[[list[int]], None],
+        on_presumed_draining: Callable[[list[int]], None],
+        on_layer_updates: Callable[[list[LayerUpdate]], None],
         metrics: Metrics,
     ) -> None:
         self._own = own
         self._store = store
         self._timing = timing
-        self._suspect = suspect
-        self._shut = shut
-        self._learn = learn
+        self._on_down = on_down
+        self._on_presumed_draining = on_presumed_draining
+        self._on_layer_updates = on_layer_updates
         self._metrics = metrics
         self._exchange = Exchange(
-            own, seeds, timing, describe, self._copies, self._post
+            own, seeds, timing, get_local_state, self._table_versions, self._enqueue
         )
         self._watches: dict[str, Watch] = {}
-        self._count = Count()
-        self._patience = random.uniform(PATIENCE_LEAST, 1.0)  # noqa: S311
-        self._behind: dict[str, float] = {}
+        self._count = HostCount()
+        self._staleness_factor = random.uniform(MIN_STALENESS_FACTOR, 1.0)  # noqa: S311
+        self._behind_since: dict[str, float] = {}
         self._fetching: set[str] = set()
         self._outbox: list[tuple[bytes, str]] = []
-        self._wake = anyio.Event()
-        self._bad_at = float("-inf")
+        self._outbox_filled = anyio.Event()
+        self._drop_logged_at = float("-inf")
         self._group: TaskGroup | None = None
 
     def share_table(self, watch: Watch) -> None:
@@ -150,19 +150,21 @@
             listener = await anyio.create_tcp_listener(
                 local_host=host, local_port=int(port)
             )
-            group.start_soon(self._rounds)
+            group.start_soon(self._run_rounds)
             group.start_soon(self._send, udp)
             group.start_soon(self._receive, udp)
-            await listener.serve(self._hand_over, group)
+            await listener.serve(self._serve_fetch, group)
 
     def should_watch(self) -> bool:
         """Return whether this host should ask the store itself.
 
         Those that follow it do, and a host to which nobody confirms its copies.
         """
-        if self._exchange.is_store_watcher() or not self._known():
+        if self._exchange.is_store_watcher() or not self._has_tables():
             return True
-        oldest = time.monotonic() - self._timing.max_staleness_s * self._patience
+        oldest = (
+            time.monotonic() - self._timing.max_staleness_s * self._staleness_factor
+        )
         return any(watch.complete_as_of < oldest for watch in self._watches.values())
 
     def is_store_watcher(self) -> bool:
@@ -177,15 +179,15 @@
         """
         if not self.has_live_peers():
             return self._timing.long_poll_alone_s
-        followers = self._exchange.followers()
-        if followers >= self.host_count():
+        watchers = self._exchange.store_watcher_count()
+        if watchers >= self.host_count():
             return self._timing.long_poll_s
         if not self._exchange.is_store_watcher():
             return 0.0
-        shared_s = self._timing.max_staleness_s * followers / CONFIRMATIONS
+        shared_s = self._timing.max_staleness_s * watchers / CONFIRMATIONS_PER_STALENESS
         return min(self._timing.long_poll_s, shared_s)
 
-    def _known(self) -> bool:
+    def _has_tables(self) -> bool:
         """Return whether this host has copies, and hears where newer ones are."""
         if any(watch.version == 0 for watch in self._watches.values()):
             return False
@@ -202,13 +204,13 @@
 
     def host_count(self) -> int:
         """Return the most hosts that may be there, with this one."""
-        return self._count.hosts(self._exchange.data_centres(), time.monotonic())
+        return self._count.upper_bound(self._exchange.data_centres(), time.monotonic())
 
     def retry_usage(self) -> tuple[int, list[RetryUsage]]:
         """Return how many hosts are heard of, and their use of the retry budget."""
-        places = self._exchange.data_centres()
-        usage = [item for place in places for item in place.usage]
-        return sum(place.hosts for place in places), sum_usage(usage)
+        data_centres = self._exchange.data_centres()
+        usage = [item for data_centre in data_centres for item in data_centre.usage]
+        return sum(data_centre.hosts for data_centre in data_centres), sum_usage(usage)
 
     def data_centre_link_sharers(self) -> int:
         """Return the number of hosts that share a pipe between two data centres."""
@@ -216,9 +218,9 @@
 
     def local_host_count(self) -> int:
         """Return the number of hosts in this data centre, with this one."""
-        for place in self._exchange.data_centres():
-            if place.name == self._own.data_centre:
-                return max(1, place.hosts)
+        for data_centre in self._exchange.data_centres():
+            if data_centre.name == self._own.data_centre:
+                return max(1, data_centre.hosts)
         return 1
 
     def peer_loads(self) -> dict[int, Load]:
@@ -227,7 +229,7 @@
 
     def newest_fence(self) -> int:
         """Return the newest planning lease that a live host claims."""
-        return max(place.fence for place in self._exchange.data_centres())
+        return max(data_centre.fence for data_centre in self._exchange.data_centres())
 
     def peer_store_stable(self) -> bool:
         """Return whether a live host has had the store all the while."""
@@ -236,33 +238,43 @@
     def has_active_peer(self) -> bool:
         """Return whether another host is heard that does not leave."""
         own = 0 if self._exchange.own.leaving else 1
-        return sum(place.staying for place in self._exchange.data_centres()) > own
+        return (
+            sum(
+                data_centre.active_hosts
+                for data_centre in self._exchange.data_centres()
+            )
+            > own
+        )
 
     def has_lowest_name(self) -> bool:
         """Return whether this host's name is the first of those that stay."""
-        names = [place.first for place in self._exchange.data_centres() if place.first]
+        names = [
+            data_centre.lowest_name
+            for data_centre in self._exchange.data_centres()
+            if data_centre.lowest_name
+        ]
         return not names or self._own.name <= min(names)
 
     def push(self) -> None:
         """Tell the others at once that a copy of a table is newer."""
         self._exchange.push()
 
-    def _copies(self) -> list[TableVersion]:
-        return [copy_of(watch) for watch in self._watches.values()]
+    def _table_versions(self) -> list[TableVersion]:
+        return [table_version_of(watch) for watch in self._watches.values()]
 
-    def _post(self, address: str, message: Message) -> None:
+    def _enqueue(self, address: str, message: Message) -> None:
         self._outbox.append((encode(message), address))
-        self._wake.set()
+        self._outbox_filled.set()
 
-    async def _rounds(self) -> None:
+    async def _run_rounds(self) -> None:
         while True:
             self._exchange.run_round()
             await anyio.sleep(self._timing.gossip_interval_s)
 
     async def _send(self, udp: UDPSocket) -> None:
         while True:
-            await self._wake.wait()
-            self._wake = anyio.Event()
+            await self._outbox_filled.wait()
+            self._outbox_filled = anyio.Event()
             outbox, self._outbox = self._outbox, []
             for data, address in outbox:
                 host, _, port = address.rpartition(":")
@@ -283,62 +295,64 @@
             try:
                 message = decode(data)
             except MessageError as exc:
-                self._bad(str(exc))
+                self._drop(str(exc))
                 continue
             self._exchange.receive(message)
             if message.down:
-                self._suspect(message.down)
+                self._on_down(message.down)
             if message.presumed_draining:
-                self._shut(message.presumed_draining)
+                self._on_presumed_draining(message.presumed_draining)
             if message.layer_updates:
-                self._learn(message.layer_updates)
-            self._compare(message)
+                self._on_layer_updates(message.layer_updates)
+            self._fetch_newer(message)
 
-    def _bad(self, cause: str) -> None:
+    def _drop(self, cause: str) -> None:
         self._metrics.count("messages_dropped", "unreadable")
         now = time.monotonic()
-        if now - self._bad_at > BAD_AGAIN_S:
-            self._bad_at = now
+        if now - self._drop_logged_at > DROP_LOG_INTERVAL_S:
+            self._drop_logged_at = now
             logger.warning("message of a host dropped", cause=cause)
 
-    def _compare(self, message: Message) -> None:
+    def _fetch_newer(self, message: Message) -> None:
         """Fetch from the sender what its copies have newer."""
         now = time.monotonic()
-        for copy in message.table_versions:
-            watch = self._watches.get(copy.table)
+        for table_version in message.table_versions:
+            watch = self._watches.get(table_version.table)
             if watch is None:
                 continue
             if not watch.confirm(
-                copy.last_change, copy.complete_to, now - copy.age_ms / 1000
+                table_version.last_change,
+                table_version.complete_to,
+                now - table_version.age_ms / 1000,
             ):
-                self._behind.pop(copy.table, None)
+                self._behind_since.pop(table_version.table, None)
                 continue
-            since = self._behind.setdefault(copy.table, now)
-            if watch.connected and now - since < BEHIND_S:
+            behind_since = self._behind_since.setdefault(table_version.table, now)
+            if watch.connected and now - behind_since < STORE_HEAD_START_S:
                 continue
-            if copy.table not in self._fetching and self._group is not None:
-                self._fetching.add(copy.table)
+            if table_version.table not in self._fetching and self._group is not None:
+                self._fetching.add(table_version.table)
                 self._group.start_soon(self._fetch, watch, message.sender.address)
 
     async def _fetch(self, watch: Watch, address: str) -> None:
         table = watch.table.value
         host, _, port = address.rpartition(":")
-        deadline = time.monotonic() + FETCH_S
+        deadline = time.monotonic() + FETCH_TIMEOUT_S
         try:
             link = await Link.open(host, int(port), deadline)
             try:
                 await link.send(Fetch(table, watch.version), deadline)
-                answer = await link.receive(deadline)
+                response = await link.receive(deadline)
             finally:
                 await link.close()
-            if isinstance(answer, Delta) and answer.table == table:
-                self._take(watch, answer, address)
+            if isinstance(response, Delta) and response.table == table:
+                self._apply(watch, response, address)
         except TransportError as exc:
             logger.info("rows not fetched", table=table, host=address, cause=str(exc))
         finally:
             self._fetching.discard(table)
 
-    def _take(self, watch: Watch, delta: Delta, address: str) -> None:
+    def _apply(self, watch: Watch, delta: Delta, address: str) -> None:
         if delta.version <= watch.version:
             return
         rows = [Row(r.key, r.value, r.version, r.deleted) for r in delta.rows]
@@ -355,22 +369,22 @@
         else:
             watch.apply(rows, delta.version)
 
-    async def _hand_over(self, stream: SocketStream) -> None:
+    async def _serve_fetch(self, stream: SocketStream) -> None:
         """Answer one request for rows."""
         link = Link(stream)
-        deadline = time.monotonic() + FETCH_S
+        deadline = time.monotonic() + FETCH_TIMEOUT_S
         try:
             message = await link.receive(deadline)
             watch = None
             if isinstance(message, Fetch):
                 watch = self._watches.get(message.table)
             if watch is None or not isinstance(message, Fetch):
-                self._bad(f"no table for {message!r:.100}")
+                self._drop(f"no table for {message!r:.100}")
                 return
             whole, rows = watch.changes_since(message.after)
-            passed = [TableRow(r.key, r.value, r.version, r.deleted) for r in rows]
+            rows_sent = [TableRow(r.key, r.value, r.version, r.deleted) for r in rows]
             await link.send(
-                Delta(message.table, watch.version, whole, passed), deadline
+                Delta(message.table, watch.version, whole, rows_sent), deadline
             )
             # The other side closes once it has everything.
             await link.wait_closed(deadline)
@@ -382,24 +396,24 @@
     async def _register(self) -> None:
         """Enter this host in the table, and read it while nobody is heard."""
         version: int | None = None
-        known = False
+        hosts_read = False
         while True:
             try:
                 deadline = time.monotonic() + 1.0
                 if version is None:
-                    version = await self._enter(deadline)
-                if not known or not self.has_live_peers():
+                    version = await self._write_own_row(deadline)
+                if not hosts_read or not self.has_live_peers():
                     page = await self._store.read(Table.HOSTS, deadline)
                     for row in page.rows:
-                        self._meet(row)
-                    self._count.at_least(len(page.rows))
-                    known = True
+                        self._add_seed(row)
+                    self._count.set_minimum(len(page.rows))
+                    hosts_read = True
             except StoreError as exc:
                 logger.info("table of hosts not reached", cause=str(exc))
-            again_s = REGISTER_AGAIN_S if version is None else ALONE_S
-            await anyio.sleep(again_s)
+            interval_s = REGISTER_RETRY_S if version is None else READ_HOSTS_INTERVAL_S
+            await anyio.sleep(interval_s)
 
-    async def _enter(self, deadline: float) -> int:
+    async def _write_own_row(self, deadline: float) -> int:
         value = msgspec.json.encode(HostRow(self._own.address))
         expected = 0
         while True:
@@ -415,24 +429,24 @@
                     return exc.row.version
                 expected = exc.row.version
 
-    def _meet(self, row: Row) -> None:
+    def _add_seed(self, row: Row) -> None:
         try:
-            entry = msgspec.json.decode(row.value, type=HostRow)
+            host_row = msgspec.json.decode(row.value, type=HostRow)
         except msgspec.DecodeError:
             logger.warning("row of a host cannot be read", host=row.key)
             return
         if row.key != self._own.name:
-            self._exchange.meet(entry.address)
+            self._exchange.add_seed(host_row.address)
 
 
-def copy_of(watch: Watch) -> TableVersion:
+def table_version_of(watch: Watch) -> TableVersion:
     """Return how far a copy is, as a message says it."""
     age_s = time.monotonic() - watch.complete_as_of
-    age_ms = int(min(age_s, AGE_MAX_S) * 1000)
+    age_ms = int(min(age_s, MAX_AGE_S) * 1000)
     return TableVersion(watch.table.value, watch.last_change, watch.version, age_ms)
 
 
 __all__ = [
     "Membership",
-    "copy_of",
+    "table_version_of",
 ]
--- a/packages/router/src/hemlockhall_router/membership/message.py
+++ b/packages/router/src/hemlockhall_router/membership/message.py
@@ -9,13 +9,13 @@
 import msgspec
 
 # Raised with each change of the messages that an older host would misread.
-PROTOCOL = 1
+PROTOCOL_VERSION = 1
 # Bytes of the largest datagram; longer ones are fragmented, and lost with any
 # of their fragments.
-DATAGRAM_BYTES = 1400
+MAX_DATAGRAM_BYTES = 1400
 # Addresses whose check is remembered, and the first number that is no port.
-ADDRESSES = 1024
-PORTS = 65_536
+ADDRESS_CACHE_SIZE = 1024
+PORT_LIMIT = 65_536
 
 
 class MessageError(Exception):
@@ -104,10 +104,10 @@
 
     name: str
     hosts: int
-    staying: int
-    first: str
+    active_hosts: int
+    lowest_name: str
     fence: int
-    steady: bool
+    store_stable: bool
     usage: list[RetryUsage] = []
 
 
@@ -120,7 +120,7 @@
     ``contacts`` hosts that the receiver may not know.
     """
 
-    protocol: int = PROTOCOL
+    protocol: int = PROTOCOL_VERSION
     sender: Contact
     table_versions: list[TableVersion]
     loads: list[Load]
@@ -134,20 +134,20 @@
     """A host to a hub: about itself."""
 
     fence: int
-    steady: bool
+    store_stable: bool
     usage: list[RetryUsage] = []
 
 
 class Digest(Message, frozen=True, array_like=True, kw_only=True, tag="digest"):
     """The answer to a report: about all others."""
 
-    places: list[DataCentre]
+    data_centres: list[DataCentre]
 
 
 class Summary(Message, frozen=True, array_like=True, kw_only=True, tag="summary"):
     """A hub to the hubs of another data centre: about its own."""
 
-    place: DataCentre
+    data_centre: DataCentre
 
 
 _encoder = msgspec.msgpack.Encoder()
@@ -165,24 +165,25 @@
         message = _decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as exc:
         raise MessageError(f"a datagram cannot be read: {exc}") from exc
-    if message.protocol != PROTOCOL:
+    if message.protocol != PROTOCOL_VERSION:
         raise MessageError(
-            f"protocol {message.protocol} is not {PROTOCOL}; update the older host"
+            f"protocol {message.protocol} is not {PROTOCOL_VERSION}; "
+            "update the older host"
         )
     for contact in (message.sender, *message.contacts):
-        if not _usable(contact.address):
+        if not _is_address(contact.address):
             raise MessageError(f"no IP number and port: {contact.address!r:.60}")
     return message
 
 
-@lru_cache(maxsize=ADDRESSES)
-def _usable(address: str) -> bool:
+@lru_cache(maxsize=ADDRESS_CACHE_SIZE)
+def _is_address(address: str) -> bool:
     host, _, port = address.rpartition(":")
     try:
         ipaddress.IPv4Address(host)
     except ValueError:
         return False
-    return port.isdecimal() and 0 < int(port) < PORTS
+    return port.isdecimal() and 0 < int(port) < PORT_LIMIT
 
 
 def endpoint_key(endpoint_id: str) -> int:
@@ -196,8 +197,8 @@
 
 
 __all__ = [
-    "DATAGRAM_BYTES",
-    "PROTOCOL",
+    "MAX_DATAGRAM_BYTES",
+    "PROTOCOL_VERSION",
     "Contact",
     "TableVersion",
     "Digest",
--- a/packages/router/src/hemlockhall_router/membership/tally.py
+++ b/packages/router/src/hemlockhall_router/membership/tally.py
@@ -10,12 +10,12 @@
     from collections.abc import Iterable
 
 # Endpoints in one message; the busiest, as a datagram has a limit.
-LOADS = 64
+MAX_LOADS = 64
 # Milliseconds that stand for an endpoint through which nothing was heard.
 MAX_EVENT_AGE_MS = 60_000
 
 
-def add_up(loads: Iterable[Load]) -> dict[int, Load]:
+def sum_loads(loads: Iterable[Load]) -> dict[int, Load]:
     """Return the sum of loads for each endpoint."""
     sums: dict[int, Load] = {}
     for load in loads:
@@ -33,20 +33,24 @@
     return sums
 
 
-def aged(loads: Iterable[Load], age_s: float) -> list[Load]:
+def age_loads(loads: Iterable[Load], age_s: float) -> list[Load]:
     """Return loads as of a later time: what was heard is older by then."""
     age_ms = int(age_s * 1000)
     if age_ms <= 0:
         return list(loads)
-    found = []
+    result = []
     for load in loads:
-        heard_ms = min(MAX_EVENT_AGE_MS, load.event_age_ms + age_ms)
-        found.append(
+        event_age_ms = min(MAX_EVENT_AGE_MS, load.event_age_ms + age_ms)
+        result.append(
             Load(
-                load.endpoint, load.requests, load.tokens, load.prefill_tokens, heard_ms
+                load.endpoint,
+                load.requests,
+                load.tokens,
+                load.prefill_tokens,
+                event_age_ms,
             )
         )
-    return found
+    return result
 
 
 def sum_usage(usages: Iterable[RetryUsage]) -> list[RetryUsage]:
@@ -67,14 +71,14 @@
 def busiest(loads: Iterable[Load]) -> list[Load]:
     """Return the loads that are worth a place in a message."""
     ordered = sorted(loads, key=lambda load: -load.tokens)
-    return ordered[:LOADS]
+    return ordered[:MAX_LOADS]
 
 
 __all__ = [
-    "LOADS",
+    "MAX_LOADS",
     "MAX_EVENT_AGE_MS",
-    "add_up",
+    "sum_loads",
     "sum_usage",
-    "aged",
+    "age_loads",
     "busiest",
 ]
--- a/tests/router/membership/test_exchange.py
+++ b/tests/router/membership/test_exchange.py
@@ -5,7 +5,7 @@
 import pytest
 
 from hemlockhall_router.membership.message import Load
-from hemlockhall_router.membership.roster import HUBS
+from hemlockhall_router.membership.roster import HUBS_PER_DATA_CENTRE
 from hemlockhall_standins.router.network import Host, Network
 
 # Hosts and data centres.
@@ -27,7 +27,7 @@
     def test_each_host_knows_how_many_there_are(self, hosts: int, places: int) -> None:
         network = started(hosts, places)
         assert {host.hosts() for host in network.live()} == {hosts}
-        assert len(network.hubs()) <= HUBS * places
+        assert len(network.hubs()) <= HUBS_PER_DATA_CENTRE * places
 
     def test_a_crash_is_known_to_all(self, hosts: int, places: int) -> None:
         """Guards against shares and loads of hosts that are gone."""
--- a/tests/router/membership/test_message.py
+++ b/tests/router/membership/test_message.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from hemlockhall_router.membership.message import (
-    PROTOCOL,
+    PROTOCOL_VERSION,
     Contact,
     MessageError,
     Report,
@@ -17,7 +17,7 @@
 )
 
 
-def report(protocol: int = PROTOCOL, address: str = "10.0.0.1:1") -> Report:
+def report(protocol: int = PROTOCOL_VERSION, address: str = "10.0.0.1:1") -> Report:
     return Report(
         protocol=protocol,
         sender=Contact("host-1", address, "here", 1, "1"),
@@ -28,7 +28,7 @@
         layer_updates=[],
         contacts=[],
         fence=0,
-        steady=True,
+        store_stable=True,
     )
 
 
@@ -38,7 +38,7 @@
 
     def test_another_protocol_is_named(self) -> None:
         with pytest.raises(MessageError, match="update the older host"):
-            decode(encode(report(PROTOCOL + 1)))
+            decode(encode(report(PROTOCOL_VERSION + 1)))
 
     @pytest.mark.parametrize("address", ["", "10.0.0.1", "10.0.0.1:x", "host:1"])
     def test_an_address_that_is_none_is_refused(self, address: str) -> None:
