--- a/packages/router/src/hemlockhall_router/membership/__init__.py
+++ b/packages/router/src/hemlockhall_router/membership/__init__.py
@@ -1,7 +1,7 @@
-"""How hosts find each other, and what they tell each other.
+"""Membership of the hosts and exchange of their state.
 
-Each data centre has a few hubs: the first of its hosts by rank. A host reports
-to the hubs of its data centre and gets a digest back; hubs tell each other
-about their data centres. Nobody elects hubs: each host ranks those that it
-hears, and whoever gets a report answers it.
+Each data centre has a few hubs: its highest-ranked live hosts. A host sends
+reports to the hubs of its data centre and receives digests; hubs send summaries
+of their data centres to each other. There is no hub election: each host ranks the
+hosts that it knows to be live, and any host that receives a report answers it.
 """
--- a/packages/router/src/hemlockhall_router/membership/count.py
+++ b/packages/router/src/hemlockhall_router/membership/count.py
@@ -1,4 +1,4 @@
-"""How many hosts there are at most, for shares that must add up."""
+"""Upper bound of the number of hosts, for dividing limits among them."""
 
 from __future__ import annotations
 
@@ -7,19 +7,18 @@
 if TYPE_CHECKING:
     from hemlockhall_router.membership.message import DataCentre
 
-# Hosts assumed until others are heard: a host that believed itself alone would
-# spend the whole allowance of repeats.
+# Hosts assumed until a message from another one arrives: a host that assumed to be
+# alone would spend the whole retry budget.
 ASSUMED_HOSTS = 8
-# Seconds for which a data centre counts with the most hosts that it had.
+# Seconds for which the highest host count of a data centre stays in use.
 PEAK_TTL_S = 60.0
 
 
 class HostCount:
-    """The most hosts of each data centre lately.
+    """Recent maximum of the host count of each data centre.
 
-    Hosts that are cut off from each other must not share out anew what all of
-    them have together, so a data centre that is not heard at all keeps its last
-    number.
+    During a network partition each side must not divide the shared limits among
+    its own hosts only, so a data centre that is unreachable keeps its last count.
     """
 
     def __init__(self) -> None:
@@ -27,15 +26,18 @@
         self._peaks: dict[str, tuple[int, float]] = {}
 
     def set_minimum(self, hosts: int) -> None:
-        """Take the number of entries in the table of hosts."""
+        """Set the number of rows in the hosts table, used while no peer is known."""
         self._minimum = max(1, hosts)
 
     def upper_bound(self, data_centres: list[DataCentre], now: float) -> int:
-        """Return the most hosts that may be there."""
+        """Return the largest number of hosts that may be running."""
         for data_centre in data_centres:
             peak, deadline = self._peaks.get(data_centre.name, (0, 0.0))
             if data_centre.hosts >= peak or now >= deadline:
-                self._peaks[data_centre.name] = (data_centre.hosts, now + PEAK_TTL_S)
+                self._peaks[data_centre.name] = (
+                    data_centre.hosts,
+                    now + PEAK_TTL_S,
+                )
         total = sum(peak for peak, _ in self._peaks.values())
         return max(1, self._minimum if len(data_centres) <= 1 else 0, total)
 
--- a/packages/router/src/hemlockhall_router/membership/exchange.py
+++ b/packages/router/src/hemlockhall_router/membership/exchange.py
@@ -1,4 +1,4 @@
-"""Who is told what: reports to hubs, digests back, summaries between hubs."""
+"""Exchange of host state: reports to hubs, digests back, summaries between hubs."""
 
 from __future__ import annotations
 
@@ -31,15 +31,16 @@
 
 M = TypeVar("M", bound=Message)
 
-# Seconds between two messages to hosts that are not heard: hubs of parted hosts
-# find each other again.
+# Interval of messages from a hub to a silent host, so that the hubs find each other
+# again after a network partition.
 RECONNECT_INTERVAL_S = 2.0
-# Hosts that follow the store at least, if there are as many: with fewer all of
-# them may be turned away by it together.
+# Minimum number of hosts that watch the store, if there are as many: fewer could all
+# lose the store at the same time.
 MIN_STORE_WATCHERS = 3
-# Rounds between two summaries to another data centre.
+# A hub sends its summary to the other data centres once in this many rounds.
 SUMMARY_ROUNDS = 2
-# Contacts, and endpoints that are down or leave, in one message. Contacts take turns.
+# Limits of one message. ``MAX_ENDPOINT_KEYS`` holds for each list of endpoints, those
+# that are down and those presumed draining; contacts beyond the limit take turns.
 MAX_CONTACTS = 10
 MAX_ENDPOINT_KEYS = 16
 MAX_LAYER_UPDATES = 16
@@ -47,7 +48,7 @@
 
 @dataclass(slots=True)
 class LocalState:
-    """What this host says of itself."""
+    """What this host reports about itself."""
 
     fence: int = 0
     store_stable: bool = False
@@ -62,7 +63,7 @@
 
 @dataclass(slots=True)
 class _Received(Generic[M]):
-    """A message, when it came, and until when it counts."""
+    """A message, the time of its arrival, and the deadline of its validity."""
 
     message: M
     received_at: float
@@ -73,24 +74,24 @@
 
 
 class Exchange:
-    """This host's part in what hosts tell each other.
+    """Sends this host's state to the others and keeps what they send.
 
     Parameters
     ----------
     own : Contact
         This host.
     seeds : list of str
-        Addresses to begin with; they may be out of date.
+        Addresses to contact first; they may be out of date.
     timing : Timing
-        Interval of rounds, and silence from which a host counts as dead.
-    describe : callable
-        Returns this host's ``LocalState``; asked in each round.
-    copies : callable
-        Returns how far its copies of tables are.
+        Interval of rounds, and silence after which a host counts as dead.
+    get_local_state : callable
+        Returns this host's ``LocalState``; called in each round.
+    get_table_versions : callable
+        Returns the versions of its cached tables.
     send : callable
-        Sends a message to an address; it may be lost.
+        Sends a message to an address; the message may be lost.
     clock : callable
-        Returns the time in seconds.
+        Returns the monotonic time in seconds.
     """
 
     def __init__(
@@ -125,12 +126,12 @@
         return self.roster.own
 
     def add_seed(self, address: str) -> None:
-        """Try a host of which only the address is known."""
+        """Add the address of a host to contact; its name need not be known."""
         if address != self.own.address and address not in self._seeds:
             self._seeds.append(address)
 
     def run_round(self) -> None:
-        """Tell others what is due."""
+        """Run one round: expire old messages, then send what is due."""
         now = self._clock()
         state = self._local_state = self._get_local_state()
         self.roster.update_own(
@@ -154,7 +155,7 @@
             self._send_summaries(now)
 
     def push(self) -> None:
-        """Tell all hosts at once what is new, if this one is a hub."""
+        """Send digests and summaries at once instead of in the next round, if a hub."""
         now = self._clock()
         if not self.roster.is_hub(now):
             return
@@ -164,7 +165,7 @@
         self._send_summaries(now)
 
     def receive(self, message: Message) -> None:
-        """Take a message, and answer it if it is a report."""
+        """Store a received message; answer it with a digest if it is a report."""
         now = self._clock()
         sender = message.sender
         if sender.name == self.own.name:
@@ -186,15 +187,16 @@
             known = self._summaries.get(key)
             if known is None or known.message.data_centre != message.data_centre:
                 self._push_pending = True
-            # The other data centre may have lost its hubs, and not its hosts.
+            # If the hubs of the other data centre fail, its hosts are still there:
+            # keep the summary until its next hub sends one.
             deadline += self._timing.host_timeout_s
             self._summaries[key] = _Received(message, now, deadline)
 
     def data_centres(self) -> list[DataCentre]:
-        """Return all data centres that are heard of, with this host's own.
+        """Return all known data centres, including this host's own.
 
-        A hub that has just started hears of other data centres, and of some
-        hosts of its own, from its fellow first.
+        Digests count for a hub too: one that has just started learns of other data
+        centres, and of some hosts of its own, from the other hub first.
         """
         now = self._clock()
         found = {
@@ -212,7 +214,7 @@
         return list(found.values())
 
     def loads(self) -> dict[int, Load]:
-        """Return the other hosts' loads by the endpoint's key."""
+        """Return the sum of the other hosts' loads by the endpoint's key."""
         now = self._clock()
         if self.roster.is_hub(now):
             return sum_loads(self._known_loads(None, now))
@@ -220,7 +222,7 @@
         return {load.endpoint: load for load in digest.loads(now)} if digest else {}
 
     def peer_store_stable(self) -> bool:
-        """Return whether another host says that it had the store all the while."""
+        """Return whether another host reports no recent loss of the store."""
         now = self._clock()
         if any(received.message.store_stable for received in self._reports.values()):
             return True
@@ -237,10 +239,10 @@
         )
 
     def is_store_watcher(self) -> bool:
-        """Return whether this host is one of those that follow the store.
+        """Return whether this host is one of the store watchers.
 
-        The first host of each data centre is; the second one too while there
-        are few data centres.
+        The highest-ranked host of each data centre is; so is the second one while
+        there are fewer than ``MIN_STORE_WATCHERS`` data centres.
         """
         names = self.roster.store_watchers(
             self._watchers_per_data_centre(), self._clock()
@@ -248,7 +250,7 @@
         return self.own.name in names
 
     def store_watcher_count(self) -> int:
-        """Return how many hosts follow the store."""
+        """Return the number of store watchers in all data centres."""
         per_data_centre = self._watchers_per_data_centre()
         return sum(
             min(per_data_centre, data_centre.hosts)
@@ -263,7 +265,10 @@
         )
 
     def _reply(self, report: Report, now: float, *, all_contacts: bool) -> None:
-        """Answer a report; a host that is new here gets all contacts at once."""
+        """Answer a report; a host that is new here gets all contacts at once.
+
+        They may take several digests of ``MAX_CONTACTS`` each.
+        """
         count = (
             len(self.roster.contacts(report.sender.data_centre, now))
             if all_contacts
@@ -312,7 +317,7 @@
         )
 
     def _send_summaries(self, now: float) -> None:
-        """Tell the hubs of the other data centres about this one."""
+        """Send the state of this data centre to the hubs of the other ones."""
         data_centre = self._own_data_centre()
         loads = [*self._local_state.loads]
         down, presumed_draining = (
@@ -343,7 +348,10 @@
     def _select_contacts(
         self, data_centre: str, receiver: str, now: float
     ) -> list[Contact]:
-        """Return the hubs of a data centre, and the contacts whose turn it is."""
+        """Return the hubs of a data centre and the next ``MAX_CONTACTS`` contacts.
+
+        ``receiver`` is left out.
+        """
         hubs = {contact.name for contact in self.roster.hubs(data_centre, now)}
         hub_contacts, others = [], []
         for contact in self.roster.contacts(data_centre, now):
@@ -358,7 +366,11 @@
         return hub_contacts + others
 
     def _known_data_centres(self, now: float) -> list[DataCentre]:
-        """Return what this host passes on; never what a fellow hub had from it."""
+        """Return the data centres to pass on.
+
+        A hub takes them from reports and summaries only, so that it does not
+        receive its own data back from the other hub.
+        """
         if not self.roster.is_hub(now):
             digest = self._current_digest(now)
             if digest is not None:
@@ -397,8 +409,8 @@
     def _remote_summaries(self, now: float) -> list[_Received[Summary]]:
         """Return one summary for each other data centre.
 
-        The fullest, as a hub that has just started knows few hosts, unless its
-        hub is silent.
+        The one with the most hosts is used, as a hub that has just started knows
+        few of them; summaries of silent hubs come last.
         """
 
         def rank(received: _Received[Summary]) -> tuple[bool, int]:
@@ -441,7 +453,7 @@
         return presumed_draining
 
     def _current_digest(self, now: float) -> _Received[Digest] | None:
-        """Return the digest of the best hub that answers, or None."""
+        """Return the digest of the highest-ranked hub that answers, or None."""
         for contact in self.roster.hubs(self.own.data_centre, now):
             received = self._digests.get(contact.name)
             if received is not None and now < received.deadline:
@@ -449,7 +461,10 @@
         return None
 
     def _reconnect(self, report: Report, now: float) -> None:
-        """Try hosts that are not heard: all seeds while nobody is, else one."""
+        """Contact silent hosts: all seeds while no host is live, else one at random.
+
+        The latter is done by hubs only, each ``RECONNECT_INTERVAL_S``.
+        """
         live = {m.contact.address for m in self.roster.live(now)}
         silent = [seed for seed in self._seeds if seed not in live]
         if not live:
@@ -474,7 +489,7 @@
 
 
 def _unique_keys(keys: list[int]) -> list[int]:
-    """Return as many different keys as a message takes."""
+    """Return the distinct keys, at most ``MAX_ENDPOINT_KEYS`` of them."""
     return list(dict.fromkeys(keys))[:MAX_ENDPOINT_KEYS]
 
 
--- a/packages/router/src/hemlockhall_router/membership/hosts.py
+++ b/packages/router/src/hemlockhall_router/membership/hosts.py
@@ -1,11 +1,11 @@
-"""The other hosts: what they know that this one does not, and their load.
-
-A host that the store turns away would go on with an old configuration, a
-withdrawn key or a leaving endpoint, and hundreds of hosts that follow the store
-would cost more than the requests. The hubs follow it, and everybody else
-fetches from a hub what the hub has newer. Versions come from the store's one
-counter, so a copy at a version is the same wherever it came from, and an older
-one never replaces a newer one.
+"""Messages between hosts, and transfer of table rows from host to host.
+
+A host that cannot reach the store would keep using an old configuration, a revoked
+key or a draining endpoint, and the calls of hundreds of hosts that all watch the
+store would cost more than the requests. A few store watchers long-poll it, and the
+other hosts fetch newer rows from the hosts that have them. Versions come from a
+single counter of the store, so a cached table at a version has the same rows
+wherever they came from, and an older version never replaces a newer one.
 """
 
 from __future__ import annotations
@@ -54,54 +54,56 @@
     from hemlockhall_router.process.timing import Timing
     from hemlockhall_router.process.watch import Watch
 
-# Seconds in which a host hands over rows; one that does not is cut off or frozen.
+# Longest time for a transfer of rows; a host that takes longer is unreachable or
+# frozen.
 FETCH_TIMEOUT_S = 0.8
-# Seconds a host that follows the store itself waits before it fetches rows from
-# another one: it gets them from the store at the same time.
+# Seconds a host that is connected to the store waits before it fetches rows from
+# another host: it usually receives them from the store at the same time.
 STORE_HEAD_START_S = 0.15
-# Times that copies are confirmed in the time in which they grow stale.
+# Confirmations of the cached tables within the maximum staleness.
 CONFIRMATIONS_PER_STALENESS = 3
-# Part of that time after which the least patient host asks the store. Were all as
-# patient, all of them would ask before they hear of the first one's answer.
+# Each host takes a random fraction of the maximum staleness, at least this one, as its
+# own limit. With the same limit all hosts would call the store at once, before the
+# response to the first of them is passed on.
 MIN_STALENESS_FACTOR = 0.8
-# Seconds between readings of the table of hosts while nobody is heard.
+# Interval of reading the hosts table while no other host is live.
 READ_HOSTS_INTERVAL_S = 4.0
 REGISTER_RETRY_S = 1.0
-# Seconds that stand for a copy that nobody ever confirmed.
+# Upper bound of the age of a table version, also sent if it was never confirmed.
 MAX_AGE_S = 3600.0
-# Seconds between two lines on datagrams that cannot be read.
+# Interval of log lines about dropped messages.
 DROP_LOG_INTERVAL_S = 1.0
 
 
 class HostRow(msgspec.Struct):
-    """A row of the table of hosts."""
+    """A row of the hosts table; its key is the name of the host."""
 
     address: str
 
 
 class Membership:
-    """Messages from and to the other hosts.
+    """This host's messages to and from the other hosts, and its row in the store.
 
     Parameters
     ----------
     own : Contact
         This host.
     seeds : list of str
-        Addresses to begin with.
+        Addresses to contact first.
     store : Store
-        Keeps the table of hosts.
+        Holds the hosts table.
     timing : Timing
-        Intervals, and when a host counts as dead.
-    describe : callable
-        Returns what this host says of itself.
-    suspect : callable
-        Called with the keys of endpoints that another host finds down.
-    shut : callable
-        Called with the keys of endpoints that seem to leave.
-    learn : callable
-        Called with layers of endpoints that the store does not tell yet.
+        Intervals, and the silence after which a host counts as dead.
+    get_local_state : callable
+        Returns what this host reports about itself.
+    on_down : callable
+        Called with the keys of endpoints that another host found down.
+    on_presumed_draining : callable
+        Called with the keys of endpoints that another host presumes draining.
+    on_layer_updates : callable
+        Called with layers of endpoints that are newer than their store entries.
     metrics : Metrics
-        Counts what was dropped.
+        Counts dropped messages.
     """
 
     def __init__(
@@ -137,11 +139,11 @@
         self._group: TaskGroup | None = None
 
     def share_table(self, watch: Watch) -> None:
-        """Fetch from others what a copy lacks, and hand it over to them."""
+        """Exchange the rows of a cached table with other hosts."""
         self._watches[watch.table.value] = watch
 
     async def run(self) -> None:
-        """Talk to the other hosts until cancelled."""
+        """Exchange messages with the other hosts until cancelled."""
         host, _, port = self._own.address.rpartition(":")
         async with anyio.create_task_group() as group:
             self._group = group
@@ -156,9 +158,10 @@
             await listener.serve(self._serve_fetch, group)
 
     def should_watch(self) -> bool:
-        """Return whether this host should ask the store itself.
+        """Return whether this host should call the store itself.
 
-        Those that follow it do, and a host to which nobody confirms its copies.
+        The store watchers do, and so does a host that has no table yet, has no live
+        peer, or has a table that was not confirmed in time.
         """
         if self._exchange.is_store_watcher() or not self._has_tables():
             return True
@@ -168,14 +171,15 @@
         return any(watch.complete_as_of < oldest for watch in self._watches.values())
 
     def is_store_watcher(self) -> bool:
-        """Return whether others rely on what this host gets from the store."""
+        """Return whether other hosts rely on the changes that this one receives."""
         return self._exchange.is_store_watcher()
 
     def long_poll_s(self) -> float:
-        """Return for how long one call for changes waits at the store.
+        """Return how long one call for changes waits at the store, in seconds.
 
-        The calls of all that follow it confirm the copies of the others
-        several times before one of them grows stale.
+        The calls of all store watchers together confirm the cached tables of the
+        other hosts ``CONFIRMATIONS_PER_STALENESS`` times within the maximum
+        staleness.
         """
         if not self.has_live_peers():
             return self._timing.long_poll_alone_s
@@ -188,7 +192,7 @@
         return min(self._timing.long_poll_s, shared_s)
 
     def _has_tables(self) -> bool:
-        """Return whether this host has copies, and hears where newer ones are."""
+        """Return whether all tables were read, and peers report newer versions."""
         if any(watch.version == 0 for watch in self._watches.values()):
             return False
         return self.has_live_peers()
@@ -199,21 +203,21 @@
         return self._exchange.roster.is_hub(time.monotonic())
 
     def has_live_peers(self) -> bool:
-        """Return whether another host is heard."""
+        """Return whether another host is live."""
         return bool(self._exchange.roster.live(time.monotonic()))
 
     def host_count(self) -> int:
-        """Return the most hosts that may be there, with this one."""
+        """Return the largest number of hosts that may be running, with this one."""
         return self._count.upper_bound(self._exchange.data_centres(), time.monotonic())
 
     def retry_usage(self) -> tuple[int, list[RetryUsage]]:
-        """Return how many hosts are heard of, and their use of the retry budget."""
+        """Return the number of known hosts, and the sum of their retry budget usage."""
         data_centres = self._exchange.data_centres()
         usage = [item for data_centre in data_centres for item in data_centre.usage]
         return sum(data_centre.hosts for data_centre in data_centres), sum_usage(usage)
 
     def data_centre_link_sharers(self) -> int:
-        """Return the number of hosts that share a pipe between two data centres."""
+        """Return the number of hosts that share the link between two data centres."""
         return min(self.host_count(), 2 * self.local_host_count())
 
     def local_host_count(self) -> int:
@@ -224,19 +228,19 @@
         return 1
 
     def peer_loads(self) -> dict[int, Load]:
-        """Return the other hosts' loads by the endpoint's key."""
+        """Return the sum of the other hosts' loads by the endpoint's key."""
         return self._exchange.loads()
 
     def newest_fence(self) -> int:
-        """Return the newest planning lease that a live host claims."""
+        """Return the highest fencing token of the planner's lease that is reported."""
         return max(data_centre.fence for data_centre in self._exchange.data_centres())
 
     def peer_store_stable(self) -> bool:
-        """Return whether a live host has had the store all the while."""
+        """Return whether another host reports no recent loss of the store."""
         return self._exchange.peer_store_stable()
 
     def has_active_peer(self) -> bool:
-        """Return whether another host is heard that does not leave."""
+        """Return whether another host is known that is not leaving."""
         own = 0 if self._exchange.own.leaving else 1
         return (
             sum(
@@ -247,7 +251,7 @@
         )
 
     def has_lowest_name(self) -> bool:
-        """Return whether this host's name is the first of those that stay."""
+        """Return whether this host's name is the lowest of those not leaving."""
         names = [
             data_centre.lowest_name
             for data_centre in self._exchange.data_centres()
@@ -256,7 +260,7 @@
         return not names or self._own.name <= min(names)
 
     def push(self) -> None:
-        """Tell the others at once that a copy of a table is newer."""
+        """Send the versions of the cached tables to the other hosts at once."""
         self._exchange.push()
 
     def _table_versions(self) -> list[TableVersion]:
@@ -281,7 +285,7 @@
                 try:
                     await udp.sendto(data, host, int(port))
                 except OSError as exc:
-                    # A datagram may be lost anyway; the next round repeats it.
+                    # The next round sends it again, as after a lost datagram.
                     logger.debug("datagram not sent", address=address, cause=str(exc))
 
     async def _receive(self, udp: UDPSocket) -> None:
@@ -289,8 +293,8 @@
             try:
                 data, _ = await udp.receive()
             except OSError as exc:
-                # An earlier datagram met a closed port.
-                logger.debug("datagram refused", cause=str(exc))
+                # An earlier datagram was sent to a closed port.
+                logger.debug("receiving a datagram failed", cause=str(exc))
                 continue
             try:
                 message = decode(data)
@@ -314,7 +318,7 @@
             logger.warning("message of a host dropped", cause=cause)
 
     def _fetch_newer(self, message: Message) -> None:
-        """Fetch from the sender what its copies have newer."""
+        """Fetch rows from the sender for each table of which it has a newer version."""
         now = time.monotonic()
         for table_version in message.table_versions:
             watch = self._watches.get(table_version.table)
@@ -370,7 +374,7 @@
             watch.apply(rows, delta.version)
 
     async def _serve_fetch(self, stream: SocketStream) -> None:
-        """Answer one request for rows."""
+        """Answer one request for the rows of a table."""
         link = Link(stream)
         deadline = time.monotonic() + FETCH_TIMEOUT_S
         try:
@@ -386,15 +390,15 @@
             await link.send(
                 Delta(message.table, watch.version, whole, rows_sent), deadline
             )
-            # The other side closes once it has everything.
+            # The peer closes the connection after it has received everything.
             await link.wait_closed(deadline)
         except TransportError as exc:
-            logger.info("rows not handed over", cause=str(exc))
+            logger.info("rows not sent", cause=str(exc))
         finally:
             await link.close()
 
     async def _register(self) -> None:
-        """Enter this host in the table, and read it while nobody is heard."""
+        """Write this host's row to the hosts table; read it while no peer is live."""
         version: int | None = None
         hosts_read = False
         while True:
@@ -409,7 +413,7 @@
                     self._count.set_minimum(len(page.rows))
                     hosts_read = True
             except StoreError as exc:
-                logger.info("table of hosts not reached", cause=str(exc))
+                logger.info("access to the hosts table failed", cause=str(exc))
             interval_s = REGISTER_RETRY_S if version is None else READ_HOSTS_INTERVAL_S
             await anyio.sleep(interval_s)
 
@@ -433,14 +437,14 @@
         try:
             host_row = msgspec.json.decode(row.value, type=HostRow)
         except msgspec.DecodeError:
-            logger.warning("row of a host cannot be read", host=row.key)
+            logger.warning("malformed row in the hosts table", host=row.key)
             return
         if row.key != self._own.name:
             self._exchange.add_seed(host_row.address)
 
 
 def table_version_of(watch: Watch) -> TableVersion:
-    """Return how far a copy is, as a message says it."""
+    """Return the version of a cached table, as sent in messages."""
     age_s = time.monotonic() - watch.complete_as_of
     age_ms = int(min(age_s, MAX_AGE_S) * 1000)
     return TableVersion(watch.table.value, watch.last_change, watch.version, age_ms)
--- a/packages/router/src/hemlockhall_router/membership/message.py
+++ b/packages/router/src/hemlockhall_router/membership/message.py
@@ -1,4 +1,4 @@
-"""Datagrams between hosts: MessagePack, each with the number of its protocol."""
+"""Datagrams between hosts: MessagePack with a protocol version."""
 
 from __future__ import annotations
 
@@ -8,26 +8,26 @@
 
 import msgspec
 
-# Raised with each change of the messages that an older host would misread.
+# Incremented with each change of the messages that an older host would misread.
 PROTOCOL_VERSION = 1
-# Bytes of the largest datagram; longer ones are fragmented, and lost with any
-# of their fragments.
+# Longer datagrams are fragmented by IP, and lost with any of their fragments.
 MAX_DATAGRAM_BYTES = 1400
-# Addresses whose check is remembered, and the first number that is no port.
+# Entries in the cache of validated addresses.
 ADDRESS_CACHE_SIZE = 1024
+# Ports are below this number.
 PORT_LIMIT = 65_536
 
 
 class MessageError(Exception):
-    """A datagram cannot be used; the text says why."""
+    """A datagram is malformed or of another protocol version."""
 
 
 class Contact(msgspec.Struct, frozen=True, array_like=True):
-    """A host as others can reach it.
+    """Address and state of a host, as passed on between hosts.
 
-    ``capacity`` ranks hosts, ``boot`` names this run of its process, ``age_ms`` is
-    the time since the sender knew that it lives. ``store_unreachable`` tells that
-    the store does not answer it.
+    ``capacity`` ranks hosts, ``boot`` identifies the run of its process, and
+    ``age_ms`` is the time since it was last seen, as known to the sender.
+    ``store_unreachable`` is true while the store does not answer it.
     """
 
     name: str
@@ -41,11 +41,11 @@
 
 
 class TableVersion(msgspec.Struct, frozen=True, array_like=True):
-    """How far a host's copy of a table of the store is.
+    """How far a host's cached table of the store is.
 
     ``last_change`` is the version of the newest change in it and ``complete_to`` the
-    version up to which no change is missing. The store, or a host that had it
-    from there, said so ``age_ms`` ago.
+    version up to which no change is missing. This was true of the store
+    ``age_ms`` ago, as confirmed by the store itself or by way of other hosts.
     """
 
     table: str
@@ -55,10 +55,11 @@
 
 
 class Load(msgspec.Struct, frozen=True, array_like=True):
-    """Requests at an endpoint, named by its key.
+    """Requests in flight at an endpoint, which is identified by its key.
 
-    ``tokens`` are those of the requests and ``prefill_tokens`` those of requests
-    without an event so far; an event came through it ``event_age_ms`` ago.
+    ``tokens`` are the tokens of these requests, ``prefill_tokens`` those of the
+    requests without an event so far. The last event from the endpoint arrived
+    ``event_age_ms`` ago.
     """
 
     endpoint: int
@@ -69,10 +70,11 @@
 
 
 class LayerUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """The layers of an endpoint, newer than what the store says of it.
+    """Layers of an endpoint, newer than its entry in the store.
 
-    ``started_ms`` names its run, and ``order_count`` counts the orders that it began;
-    the higher number is the newer fact.
+    ``started_ms`` identifies the run of its process (Unix milliseconds), and
+    ``order_count`` counts the orders that it began; the higher count is newer.
+    The layers are ``first`` up to but not including ``end``.
     """
 
     endpoint: int
@@ -83,9 +85,9 @@
 
 
 class RetryUsage(msgspec.Struct, frozen=True, array_like=True):
-    """Requests for a service and repeats in the window of the retry budget.
+    """Requests and retries of a service in the window of the retry budget.
 
-    ``retries`` includes what is kept for the hosts concerned, used or not.
+    ``retries`` also counts the retries that are reserved for the hosts but unused.
     """
 
     service: int
@@ -94,12 +96,12 @@
 
 
 class DataCentre(msgspec.Struct, frozen=True, array_like=True):
-    """The hosts of a data centre together.
+    """Aggregated state of the hosts of a data centre.
 
-    ``staying`` counts those that do not leave, and ``first`` is the lowest of
-    their names. ``fence`` is the newest planning lease that one of them holds,
-    or 0. ``steady`` tells whether one has had the store all the while. ``usage`` is
-    the sum of their use of the retry budget.
+    ``active_hosts`` counts the hosts that are not leaving, and ``lowest_name`` is
+    the lowest of their names. ``fence`` is the highest fencing token of the planner's
+    lease among them, or 0. ``store_stable`` is true if at least one of them has
+    had no recent loss of the store. ``usage`` is the sum of their retry budget usage.
     """
 
     name: str
@@ -112,11 +114,12 @@
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """What each message carries.
+    """Fields of all messages.
 
-    ``loads`` are the sender's own, or those of the hosts that it speaks for.
-    ``down`` holds keys of endpoints that do not answer, ``presumed_draining`` of those
-    that seem to leave, ``layer_updates`` layers that the store does not tell yet,
+    ``loads`` are the sender's own, or the sums over the hosts whose reports and
+    summaries it passes on. ``down`` holds keys of endpoints that do not answer,
+    ``presumed_draining`` keys of those that drain without a notice in the store,
+    ``layer_updates`` layers that are newer than the entry in the store, and
     ``contacts`` hosts that the receiver may not know.
     """
 
@@ -131,7 +134,7 @@
 
 
 class Report(Message, frozen=True, array_like=True, kw_only=True, tag="report"):
-    """A host to a hub: about itself."""
+    """Report of a host about itself, sent to the hubs of its data centre."""
 
     fence: int
     store_stable: bool
@@ -139,13 +142,13 @@
 
 
 class Digest(Message, frozen=True, array_like=True, kw_only=True, tag="digest"):
-    """The answer to a report: about all others."""
+    """Response to a report, about all other hosts and all data centres."""
 
     data_centres: list[DataCentre]
 
 
 class Summary(Message, frozen=True, array_like=True, kw_only=True, tag="summary"):
-    """A hub to the hubs of another data centre: about its own."""
+    """State of the sender's data centre, sent to the hubs of the other ones."""
 
     data_centre: DataCentre
 
@@ -155,16 +158,16 @@
 
 
 def encode(message: Message) -> bytes:
-    """Return a message as bytes."""
+    """Return a message in MessagePack."""
     return _encoder.encode(message)
 
 
 def decode(data: bytes) -> Report | Digest | Summary:
-    """Return the message in a datagram, or raise ``MessageError``."""
+    """Return the message in a datagram; raise ``MessageError`` if it is unusable."""
     try:
         message = _decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as exc:
-        raise MessageError(f"a datagram cannot be read: {exc}") from exc
+        raise MessageError(f"malformed datagram: {exc}") from exc
     if message.protocol != PROTOCOL_VERSION:
         raise MessageError(
             f"protocol {message.protocol} is not {PROTOCOL_VERSION}; "
@@ -172,7 +175,10 @@
         )
     for contact in (message.sender, *message.contacts):
         if not _is_address(contact.address):
-            raise MessageError(f"no IP number and port: {contact.address!r:.60}")
+            raise MessageError(
+                f"not an IPv4 address and port: {contact.address!r:.60}; "
+                "correct listen.hosts in the settings of that host"
+            )
     return message
 
 
@@ -187,12 +193,12 @@
 
 
 def endpoint_key(endpoint_id: str) -> int:
-    """Return the number that stands for an endpoint in messages."""
+    """Return the 32-bit key of an endpoint in messages, the CRC-32 of its id."""
     return zlib.crc32(endpoint_id.encode())
 
 
 def service_key(name: str) -> int:
-    """Return the number that stands for a service in messages."""
+    """Return the 32-bit key of a service in messages, the CRC-32 of its name."""
     return zlib.crc32(name.encode())
 
 
--- a/packages/router/src/hemlockhall_router/membership/roster.py
+++ b/packages/router/src/hemlockhall_router/membership/roster.py
@@ -1,4 +1,4 @@
-"""The hosts that this one knows, and which of them are hubs."""
+"""Known hosts, their liveness, and the choice of hubs and store watchers."""
 
 from __future__ import annotations
 
@@ -13,20 +13,21 @@
 if TYPE_CHECKING:
     from hemlockhall_router.process.timing import Timing
 
-# Hubs of a data centre: one may fail without anybody waiting for the next.
+# With two, one hub may fail and the other one takes over without a delay.
 HUBS_PER_DATA_CENTRE = 2
-# Seconds for which a look at who lives is good: each message needs one.
+# Seconds for which the list of live hosts is cached: each message needs it.
 VIEW_TTL_S = 0.05
-# Seconds after which a host that nobody hears is no longer tried.
+# Seconds without a sign of life after which a host is no longer contacted.
 FORGET_S = 30.0
 
 
 @dataclass(slots=True)
 class Member:
-    """A host, as known here; times are monotonic.
+    """A known host; times are monotonic, in seconds.
 
-    ``heard_at`` is when it was known to live, by whomever; ``asked_at`` the time of
-    the first message to it that it has not answered, or None.
+    ``last_seen_at`` is when this or another host last received a message from it,
+    ``unanswered_since`` the time of the first message to it that it has not
+    answered, or None.
     """
 
     contact: Contact
@@ -36,14 +37,14 @@
 
 
 class Roster:
-    """All hosts by name; this one is none of them.
+    """All known hosts by name, without this one.
 
     Parameters
     ----------
     own : Contact
         This host.
     timing : Timing
-        From when on a silent host counts as dead.
+        Provides the silence after which a host counts as dead.
     """
 
     def __init__(self, own: Contact, timing: Timing) -> None:
@@ -55,7 +56,7 @@
         self._view_deadline = float("-inf")
 
     def update_own(self, *, leaving: bool, store_unreachable: bool) -> None:
-        """Note what changed about this host; another one takes its part then."""
+        """Update the state of this host that decides on its part as hub or watcher."""
         if (leaving, store_unreachable) == (
             self.own.leaving,
             self.own.store_unreachable,
@@ -67,7 +68,7 @@
         self._view_deadline = float("-inf")
 
     def record_message(self, contact: Contact, now: float) -> bool:
-        """Note a message from a host; return whether this run of it is new."""
+        """Record a message from a host; return whether this run of it is new."""
         known = self.members.get(contact.name)
         new_run = known is None or known.contact.boot != contact.boot
         member = self._record(contact, now, now)
@@ -77,7 +78,7 @@
         return new_run
 
     def record_contact(self, contact: Contact, now: float) -> None:
-        """Note what another host says of one."""
+        """Record a contact that another host passed on."""
         self._record(contact, now - contact.age_ms / 1000, now)
 
     def _record(
@@ -93,7 +94,7 @@
             self.members[contact.name] = member
             self._view_deadline = float("-inf")
             return member
-        # Of two runs of a host, or two addresses, the one heard last counts.
+        # Of two runs or two addresses of a host, the one seen last is used.
         if last_seen_at > member.last_seen_at:
             if member.contact.boot != contact.boot:
                 member.unanswered_since = None
@@ -103,13 +104,13 @@
         return member
 
     def record_request(self, name: str, now: float) -> None:
-        """Note a message to a host that should be answered."""
+        """Record a message to a host that it should answer."""
         member = self.members.get(name)
         if member is not None and member.unanswered_since is None:
             member.unanswered_since = now
 
     def live(self, now: float) -> list[Member]:
-        """Return the hosts that were known to live a moment ago."""
+        """Return the live hosts, from a view that is at most ``VIEW_TTL_S`` old."""
         return [
             m for members in self._live_by_data_centre(now).values() for m in members
         ]
@@ -119,10 +120,10 @@
         return list(self._live_by_data_centre(now))
 
     def hubs(self, data_centre: str, now: float) -> list[Contact]:
-        """Return the hubs of a data centre, this host among them if it is one.
+        """Return the hubs of a data centre, including this host if it is one.
 
-        A host that does not answer this one is no hub to it, whoever else
-        hears it.
+        A host that does not answer this one is skipped, even if other hosts
+        receive messages from it.
         """
         members = self._live_by_data_centre(now).get(data_centre, [])
         if data_centre in self._hubs:
@@ -141,10 +142,10 @@
         return self._hubs[data_centre]
 
     def store_watchers(self, count: int, now: float) -> list[str]:
-        """Return which hosts of this data centre follow the store, by name.
+        """Return the names of the store watchers of this data centre.
 
-        One that the store turns away hands over to the next; if it turns all
-        away, the first ones go on trying.
+        A host that cannot reach the store is replaced by the next one; if none
+        can reach it, the highest-ranked ones keep trying.
         """
         contacts = [
             m.contact
@@ -161,15 +162,15 @@
         return any(contact.name == self.own.name for contact in hubs)
 
     def silent(self, now: float) -> list[Member]:
-        """Return the hosts that are not heard, but may be back."""
+        """Return the hosts that count as dead but are not forgotten yet."""
         timeout_s = self._timing.host_timeout_s
         return [m for m in self.members.values() if now - m.last_seen_at >= timeout_s]
 
     def contacts(self, data_centre: str, now: float) -> list[Contact]:
-        """Return whom a host of a data centre should know.
+        """Return the contacts that a host of a data centre should know.
 
-        All live hosts of its own, as it chooses the next hub among them, and
-        the hubs of the others.
+        All live hosts of its own data centre, as it chooses the next hub among
+        them, and the hubs of the other data centres.
         """
         found = []
         for name, members in self._live_by_data_centre(now).items():
@@ -180,7 +181,7 @@
         return found
 
     def _live_by_data_centre(self, now: float) -> dict[str, list[Member]]:
-        """Return the live hosts by data centre, as of a moment ago."""
+        """Return the live hosts by data centre, cached for ``VIEW_TTL_S``."""
         if now < self._view_deadline:
             return self._view
         self._view_deadline = now + VIEW_TTL_S
@@ -193,7 +194,7 @@
         return self._view
 
     def forget(self, now: float) -> list[Contact]:
-        """Drop the hosts that were not heard for long, and return them."""
+        """Drop and return the hosts without a sign of life for ``FORGET_S``."""
         gone = []
         for name, member in list(self.members.items()):
             if now - max(member.last_seen_at, member.added_at) > FORGET_S:
@@ -202,7 +203,7 @@
 
 
 def _rank(contact: Contact) -> tuple[bool, int, int, str]:
-    # The name's checksum spreads hubs over hosts of equal power.
+    # The checksum of the name spreads the hubs over hosts of equal capacity.
     spread = zlib.crc32(contact.name.encode())
     return (contact.leaving, -contact.capacity, spread, contact.name)
 
--- a/packages/router/src/hemlockhall_router/membership/tally.py
+++ b/packages/router/src/hemlockhall_router/membership/tally.py
@@ -1,4 +1,4 @@
-"""Loads of the other hosts, summed up without counting one twice."""
+"""Sums of the loads and the retry usage that hosts report."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# Endpoints in one message; the busiest, as a datagram has a limit.
+# Endpoints in one message: only the busiest, as the size of a datagram is limited.
 MAX_LOADS = 64
-# Milliseconds that stand for an endpoint through which nothing was heard.
+# Upper bound of ``event_age_ms``, also sent if no event has arrived yet.
 MAX_EVENT_AGE_MS = 60_000
 
 
 def sum_loads(loads: Iterable[Load]) -> dict[int, Load]:
-    """Return the sum of loads for each endpoint."""
+    """Return the sum of the loads of each endpoint, by the endpoint's key."""
     sums: dict[int, Load] = {}
     for load in loads:
         old = sums.get(load.endpoint)
@@ -34,7 +34,7 @@
 
 
 def age_loads(loads: Iterable[Load], age_s: float) -> list[Load]:
-    """Return loads as of a later time: what was heard is older by then."""
+    """Return the loads with ``age_s`` seconds added to the age of their events."""
     age_ms = int(age_s * 1000)
     if age_ms <= 0:
         return list(loads)
@@ -54,7 +54,7 @@
 
 
 def sum_usage(usages: Iterable[RetryUsage]) -> list[RetryUsage]:
-    """Return the sum of the use of the retry budget for each service."""
+    """Return the sum of the retry budget usage of each service."""
     sums: dict[int, RetryUsage] = {}
     for usage in usages:
         old = sums.get(usage.service)
@@ -69,7 +69,7 @@
 
 
 def busiest(loads: Iterable[Load]) -> list[Load]:
-    """Return the loads that are worth a place in a message."""
+    """Return the ``MAX_LOADS`` loads with the most tokens, highest first."""
     ordered = sorted(loads, key=lambda load: -load.tokens)
     return ordered[:MAX_LOADS]
 
--- a/tests/router/membership/test_message.py
+++ b/tests/router/membership/test_message.py
@@ -1,4 +1,4 @@
-"""Datagrams that no host of this version sent."""
+"""Decoding of valid, foreign and malformed datagrams."""
 
 from __future__ import annotations
 
@@ -36,28 +36,28 @@
     def test_a_message_arrives_as_sent(self) -> None:
         assert decode(encode(report())) == report()
 
-    def test_another_protocol_is_named(self) -> None:
+    def test_another_protocol_version_names_the_fix(self) -> None:
         with pytest.raises(MessageError, match="update the older host"):
             decode(encode(report(PROTOCOL_VERSION + 1)))
 
     @pytest.mark.parametrize("address", ["", "10.0.0.1", "10.0.0.1:x", "host:1"])
-    def test_an_address_that_is_none_is_refused(self, address: str) -> None:
-        """Guards against a datagram whose answer ends the process."""
-        with pytest.raises(MessageError, match="no IP number and port"):
+    def test_an_invalid_address_is_rejected(self, address: str) -> None:
+        """Guards against a reply to an invalid address, which ends the process."""
+        with pytest.raises(MessageError, match="not an IPv4 address and port"):
             decode(encode(report(address=address)))
 
     @given(st.binary(max_size=200))
-    def test_bytes_that_are_no_message_are_refused(self, data: bytes) -> None:
-        """Guards against a datagram that ends the process."""
+    def test_arbitrary_bytes_are_rejected(self, data: bytes) -> None:
+        """Guards against an unhandled exception that ends the process."""
         with pytest.raises(MessageError):
             decode(data)
 
     @given(st.integers(min_value=0, max_value=60), st.integers(0, 255))
-    def test_a_spoilt_message_is_refused_or_well_formed(
-        self, place: int, byte: int
+    def test_a_corrupt_message_is_rejected_or_decoded(
+        self, position: int, byte: int
     ) -> None:
         data = bytearray(encode(report()))
-        data[place % len(data)] = byte
+        data[position % len(data)] = byte
         try:
             message = decode(bytes(data))
         except MessageError:
