--- a/packages/core/src/hemlockhall_core/connection/link.py
+++ b/packages/core/src/hemlockhall_core/connection/link.py
@@ -30,7 +30,7 @@
 
     @abstractmethod
     def on_lost(self, peer: Peer, *, restarted: bool) -> None:
-        """Abandon the work at a peer that is dead or has restarted."""
+        """Handle the loss of a peer that is dead or has restarted."""
 
     @abstractmethod
     def on_version(self, peer: Peer, version: int) -> None:
@@ -134,7 +134,7 @@
         for message in batch.messages:
             try:
                 self._handler.on_message(peer, message)
-            except Exception:  # noqa: BLE001 - a bad message must not end the process
+            except Exception:  # noqa: BLE001 - an error in a handler must not end the process
                 self._metrics.count_batch("rejected")
                 logger.exception("handling a message of peer {} failed", peer.name)
 
@@ -200,7 +200,7 @@
         self._handler.on_lost(peer, restarted=restarted)
 
     def count_batch(self, kind: str) -> None:
-        """Count a batch that was dropped, or a renewed connection."""
+        """Count an event by its kind; see :meth:`Metrics.count_batch`."""
         self._metrics.count_batch(kind)
 
     def count_sent(self, size: int) -> None:
--- a/packages/core/src/hemlockhall_core/connection/message.py
+++ b/packages/core/src/hemlockhall_core/connection/message.py
@@ -14,6 +14,7 @@
 
 from hemlockhall_core.connection.error import BatchDecodeError
 
+# Limit on received batches; the sender does not check it.
 MAX_BATCH_BYTES = 16 * 1024 * 1024
 
 
@@ -37,6 +38,9 @@
     """Start an attempt of a model request at ``route[stage_index]``.
 
     ``known_tokens`` are the ids of the tokens that the caller already has.
+    ``prompt`` is empty for all stages but the first, ``adapter`` for a model
+    without one. ``resume`` is set on a retry: the stages keep what is in their KV
+    caches, and each requests the activations that it lacks from the previous one.
     ``entry`` is the name of the entry host, which receives the output tokens.
     The deadline is sent as the seconds left, because the monotonic clocks of two
     processes cannot be compared.
@@ -127,8 +131,8 @@
 class Close(Message, frozen=True):
     """Close the attempts of a request up to and including ``attempt``.
 
-    Sent when the request has been answered or cancelled, or continues on
-    another route.
+    Sent to all stages of a request that has ended, and to the stages that are not
+    on the route of its next attempt.
     """
 
     request: str
@@ -171,7 +175,7 @@
 
 
 class CallRefused(Message, frozen=True, tag="Refused"):
-    """The side process got no response for a call.
+    """The side process returns no HTTP response for a call.
 
     ``reason`` is a ``RefusalReason`` or ``RetryReason`` value, ``ran`` a ``Ran``
     value and ``retry_after`` in seconds.
@@ -186,7 +190,10 @@
 
 
 class CancelCall(Message, frozen=True, tag="Withdraw"):
-    """The caller disconnected: do not start the call."""
+    """Do not start a call: its caller disconnected or its deadline passed.
+
+    A call that has already started is not affected.
+    """
 
     request: str
     attempt: int
@@ -227,7 +234,7 @@
 
 
 class Drain(Message, frozen=True):
-    """Ask a process to drain: finish its requests and accept no new ones."""
+    """Ask a side process to drain: finish its requests and accept no new ones."""
 
     endpoint: str
 
@@ -262,8 +269,10 @@
 class Batch(msgspec.Struct, array_like=True, frozen=True):
     """Unit of transfer between two processes.
 
-    ``boot`` identifies one run of the sending process, ``receiver_boot`` the run
-    of the receiver that the messages and ``ack`` are meant for. ``seq`` is 0 on
+    ``boot`` identifies one run of the sending process; within a run it is raised
+    by 1 for a receiver that was removed as a peer and is contacted again.
+    ``receiver_boot`` is the boot id of the receiver that the messages and ``ack``
+    are meant for. ``seq`` is 0 on
     a batch without messages, and ``ack`` the highest ``seq`` received in order.
     ``version``, ``state`` and ``load`` describe the sender. ``reconnect`` asks
     the receiver to open a new connection to the sender.
--- a/packages/core/src/hemlockhall_core/connection/peer.py
+++ b/packages/core/src/hemlockhall_core/connection/peer.py
@@ -25,17 +25,22 @@
     from hemlockhall_core.connection.link import Link
     from hemlockhall_core.connection.message import AnyMessage
 
+# Limits for each peer.
 MAX_QUEUED_MESSAGES = 20_000
 MAX_UNACKED_BATCHES = 256
 MAX_BATCH_MESSAGES = 512
+# Time that an acknowledgement waits for a batch that can carry it.
 ACK_DELAY_S = 0.02
+# A batch that is not sent in this time is tried again at the next wakeup.
 SEND_TIMEOUT_S = 0.25
 MIN_RECONNECT_MS = 50
 MAX_RECONNECT_MS = 500
+# Time without numbered batches after which a peer counts as idle, unless a batch is
+# not acknowledged.
 IDLE_AFTER_S = 2.0
-# Limit on how often a process adds 1 to its boot id for one peer. Random boot ids
-# of two runs are much further apart, so a lower id within this distance is an
-# earlier id of the same run.
+# Upper bound assumed for how often a process adds 1 to its boot id for one peer.
+# Random boot ids of two runs are much further apart, so a lower id within this
+# distance is an earlier id of the same run.
 MAX_BOOT_INCREMENTS = 1_000_000
 
 
@@ -50,11 +55,13 @@
     idle_s : float
         Interval of heartbeats to an idle peer.
     renew_s : float
-        Silence after which a new connection is opened.
+        Silence after which a new connection is opened. For an idle peer,
+        ``idle_s - heartbeat_s`` is added to this time and to ``dead_s``.
     dead_s : float
         Silence after which the peer is considered dead.
     refused_s : float
-        Time without a connection after which the peer is considered dead.
+        Time after the loss of the connection, without a new one, after which the
+        peer is considered dead.
     """
 
     heartbeat_s: float = 0.3
@@ -66,7 +73,10 @@
 
 @dataclass
 class Unacked:
-    """A numbered batch that is not acknowledged; ``sent_at`` is 0 when unsent."""
+    """A numbered batch that is not acknowledged.
+
+    ``sent_at`` is 0 if it was not sent on the current connection.
+    """
 
     seq: int
     messages: list[AnyMessage]
@@ -334,7 +344,7 @@
         oldest = self._unacked[0].sent_at if self._unacked else 0.0
         if self.boot and oldest:
             stalled = max(stalled, now - oldest)
-        # A connection can go silent for good while new ones work: no batch or
+        # A connection can stop delivering permanently while new ones work: no batch or
         # acknowledgement arrives though the peer runs. A new connection in each
         # direction is enough, as unacknowledged batches are kept.
         if stalled > timing.renew_s and now - self._last_reconnect_at > timing.renew_s:
--- a/packages/core/src/hemlockhall_core/process/latency.py
+++ b/packages/core/src/hemlockhall_core/process/latency.py
@@ -6,7 +6,7 @@
 
 MAX_LATENCY_US = 3_600_000_000
 US_PER_S = 1_000_000
-# Enough for quantiles.
+# A relative error of 1 % is enough for quantiles.
 SIGNIFICANT_DIGITS = 2
 
 
@@ -20,7 +20,10 @@
         self.sum = 0.0
 
     def record(self, seconds: float) -> None:
-        """Add a latency in seconds."""
+        """Add a latency in seconds.
+
+        One above the range of the histogram is only added to ``sum``.
+        """
         self._histogram.record_value(max(1, int(seconds * US_PER_S)))
         self.sum += seconds
 
--- a/packages/core/src/hemlockhall_core/process/metric.py
+++ b/packages/core/src/hemlockhall_core/process/metric.py
@@ -56,8 +56,10 @@
             "Version of the document in force",
             registry=self.registry,
         )
+        # From the start of the first attempt to the first token.
         self.first_token = self._latency("first_token", "Time to the first token")
         self.token_gap = self._latency("token_gap", "Time between tokens")
+        # Only of calls that got a response of the service.
         self.call = self._latency("call", "Time of a plain service's call")
         for refusal in RefusalReason:
             self._refusals.labels(refusal.value)
@@ -79,11 +81,15 @@
         self._refusals.labels(reason.value).inc()
 
     def count_retry(self, reason: RetryReason) -> None:
-        """Count a retry."""
+        """Count an attempt that ended with a retryable failure, also the last one."""
         self._retries.labels(reason.value).inc()
 
     def count_batch(self, kind: str) -> None:
-        """Count a dropped batch or a renewed connection."""
+        """Count an event of the links by its kind.
+
+        ``malformed``, ``repeat`` and ``gap`` are dropped batches, ``rejected`` is a
+        message whose handling failed, and ``renewed`` a new connection to a peer.
+        """
         self._batches.labels(kind).inc()
 
     def count_ignored_message(self, kind: str) -> None:
--- a/packages/core/src/hemlockhall_core/process/setting.py
+++ b/packages/core/src/hemlockhall_core/process/setting.py
@@ -19,6 +19,7 @@
     return text
 
 
+# An IPv4 address and a port.
 Address = Annotated[str, AfterValidator(_check_address)]
 Url = Annotated[str, Field(pattern=r"^https?://")]
 Seconds = Annotated[float, Field(gt=0)]
@@ -69,7 +70,11 @@
 
 
 class Seed(Section):
-    """A process to connect to at start, to get the document from."""
+    """A process to connect to at start, which may provide the document.
+
+    An entry host also counts its live seeds as the other entry hosts with which it
+    shares the limits of customers.
+    """
 
     name: str
     address: Address
@@ -78,8 +83,11 @@
 class EntrySection(Section):
     """Settings of an entry host.
 
-    ``repairs`` is the number of retries of a model request, ``body_limit`` is in
-    bytes.
+    ``listen`` is the address for callers, ``admin`` that of the administrative
+    interface. ``repairs`` is the number of retries of a model request, and
+    ``body_limit`` is in bytes. A draining host keeps serving new requests for at
+    least ``leave_notice_s``. ``poll_s`` is the mean time between two reads of the
+    document in the platform's stores.
     """
 
     listen: Address
@@ -94,8 +102,10 @@
 class SideSection(Section):
     """Settings of a side process.
 
-    ``back_end`` is the URL of the endpoint, ``retain_bytes`` the limit of the stage
-    outputs that are retained for retries.
+    ``back_end`` is the URL of the engine or service, ``admin`` the address of the
+    administrative interface. ``step_timeout_s`` is the timeout of each request to
+    the engine, and ``retain_bytes`` the limit of the stage outputs that are retained
+    for retries.
     """
 
     back_end: Url
--- a/packages/core/src/hemlockhall_core/process/table.py
+++ b/packages/core/src/hemlockhall_core/process/table.py
@@ -22,6 +22,7 @@
 STORE_TIMEOUT_S = 1.0
 MIN_BACKOFF_S = 0.5
 MAX_BACKOFF_S = 4.0
+# Errors that are raised before a request is sent, so nothing can have been written.
 NOT_SENT_ERRORS = (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout)
 
 
@@ -143,6 +144,7 @@
             self._count("unknown")
             self._backoff.record_lost_response()
             raise StoreOutcomeUnknownError(f"the store answered {response.status_code}")
+        # The caller interprets the other statuses, including 4xx.
         self._count("answered")
         self._backoff.record_success()
         return response
@@ -204,14 +206,14 @@
 
 
 class Host(msgspec.Struct):
-    """An entry of the platform's host list."""
+    """An entry of the host list; ``state`` is ``leaving`` for a leaving host."""
 
     endpoint: str
     state: str
 
 
 class HostList(HttpStore):
-    """Client of the platform's list of live and leaving hosts, which lags behind."""
+    """Client of the platform's host list, which may be out of date."""
 
     async def read(self) -> list[Host]:
         """Return the current list."""
--- a/packages/core/src/hemlockhall_core/request/checksum.py
+++ b/packages/core/src/hemlockhall_core/request/checksum.py
@@ -1,4 +1,7 @@
-"""Checksum of the tokens of a response, computed by the last stage."""
+"""Checksum of the tokens of a response.
+
+The last stage computes it and the entry host verifies it.
+"""
 
 from __future__ import annotations
 
--- a/packages/core/src/hemlockhall_core/version/document.py
+++ b/packages/core/src/hemlockhall_core/version/document.py
@@ -22,7 +22,10 @@
 
 
 class ModelEntry(Entry):
-    """A model; ``deadline_s`` applies to requests without a deadline."""
+    """A model; ``deadline_s`` applies to requests without a deadline.
+
+    ``version`` is validated, but :func:`build` does not use it.
+    """
 
     version: str
     layers: Count
@@ -52,7 +55,12 @@
 
 
 class EndpointEntry(Entry):
-    """An endpoint: an engine with a half-open layer range, or a plain service."""
+    """An endpoint: an engine with a half-open layer range, or a plain service.
+
+    ``address`` is the link address of its side process. ``speed`` divides the cost
+    of a request there, so it is relative to other endpoints. ``kind`` does not affect
+    the choice of endpoints.
+    """
 
     address: Address
     data_centre: str
@@ -90,6 +98,7 @@
 
 
 SECTIONS = tuple(DocumentModel.model_fields)
+# Sections that a side process keeps.
 SIDE_SECTIONS = ("endpoints", "services")
 
 
--- a/packages/core/src/hemlockhall_core/version/document_cache.py
+++ b/packages/core/src/hemlockhall_core/version/document_cache.py
@@ -1,4 +1,8 @@
-"""The version of the document in force in a process, and its exchange with peers."""
+"""The version of the document in force in a process, and its exchange with peers.
+
+The version in force is the one that this process uses. It may be older than the
+accepted version in the platform's stores.
+"""
 
 from __future__ import annotations
 
@@ -22,6 +26,7 @@
     from hemlockhall_core.connection.peer import Peer
     from hemlockhall_core.process.metric import Metrics
 
+# Least time between two requests, to any peer, while no response arrives.
 REQUEST_INTERVAL_S = 0.5
 
 
@@ -78,7 +83,7 @@
         ``texts`` are the texts of the missing sections, by digest. A version with
         a missing text is not adopted.
         """
-        # A stale read, a paused process or a peer that lags may offer an old
+        # A stale read, a paused process or an outdated peer may offer an old
         # version, which would make a removed endpoint receive requests again. All
         # versions pass this check.
         if version <= self.version:
@@ -109,7 +114,10 @@
         peer.post(DocumentRequest(list(self._section_names), known))
 
     def make_response(self, request: DocumentRequest) -> DocumentText:
-        """Return the version in force, with the texts that the peer lacks."""
+        """Return the version in force, with the texts that the peer lacks.
+
+        Only texts of sections that this process needs can be included.
+        """
         known = {ref.digest for ref in request.known_sections}
         texts = []
         for name, text in self._texts.items():
--- a/packages/core/src/hemlockhall_core/version/error.py
+++ b/packages/core/src/hemlockhall_core/version/error.py
@@ -7,7 +7,10 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """An error in a document: its section and line, what is wrong and the fix."""
+    """An error in a document: its place and line, what is wrong and the fix.
+
+    ``section`` is the dotted path of the section, entry and key, or ``document``.
+    """
 
     section: str
     line: int
@@ -27,7 +30,7 @@
 
 
 class SubmitError(Exception):
-    """A submission was not accepted."""
+    """A submission was not accepted, or an accepted version could not be read."""
 
 
 class SectionConflictError(SubmitError):
--- a/packages/core/src/hemlockhall_core/version/repository.py
+++ b/packages/core/src/hemlockhall_core/version/repository.py
@@ -31,6 +31,7 @@
 
 HEAD_KEY = "document/head"
 HISTORY_PREFIX = "document/history/"
+# Limit on the commits of a submission, and on the reads that resolve their outcome.
 MAX_ATTEMPTS = 40
 MIN_BACKOFF_S = 0.02
 MAX_BACKOFF_S = 1.0
@@ -51,6 +52,7 @@
     revision: str = ""
 
 
+# Version 0: the history before the first submission.
 EMPTY_REVISION = Revision(0, {}, "", "", "")
 
 
@@ -114,7 +116,8 @@
         """Submit a document as the new accepted version.
 
         Sections that differ from version ``base`` are the submitter's changes; the
-        others are taken from the accepted version.
+        others are taken from the accepted version. If the result is equal to the
+        accepted version, that version is returned and nothing is committed.
 
         Raises
         ------
@@ -125,7 +128,10 @@
         SubmitUnknownError
             It is not known whether the submission was accepted.
         SubmitError
-            The submission was not accepted.
+            The submission was not accepted, or a version or section of the stores
+            does not exist.
+        PlatformError
+            A read of the stores or a write of a section failed.
         """
         mine = split(text)
         validate(text)
@@ -141,9 +147,9 @@
             )
             if new is not None:
                 return Accepted(new.version, changed, attempt, new.digests)
-            # Another submission changed the head first. The backoff does not grow
-            # with the attempts, so that a submitter that lost often is as likely to
-            # win as a new one.
+            # The commit was not applied, usually because another submission changed
+            # the head first. The backoff does not grow with the attempts, so that a
+            # submitter that lost often is as likely to win as a new one.
             await anyio.sleep(random.uniform(MIN_BACKOFF_S, 5 * MIN_BACKOFF_S))
         msg = f"other submissions came first in {MAX_ATTEMPTS} attempts; submit again"
         raise SubmitError(msg)
@@ -190,7 +196,7 @@
     async def _resolve_outcome(
         self, submission_id: str, version: int
     ) -> Revision | None:
-        """Find out whether a commit with a lost response was applied.
+        """Find out whether a commit that failed with an error was applied.
 
         The history row of the intended version holds the id of this submission or
         of another one, or does not exist. In the last case a new attempt is safe:
