--- a/packages/daemon/src/hemlockhalld/process/admin.py
+++ b/packages/daemon/src/hemlockhalld/process/admin.py
@@ -17,7 +17,10 @@
 
 
 class PeerStatus(msgspec.Struct):
-    """State of a peer, as known to this process; ``load`` in requests."""
+    """State of a peer, as known to this process; ``load`` in requests.
+
+    ``alive`` is set if the peer has sent a batch and is not considered dead.
+    """
 
     name: str
     version: int
@@ -56,7 +59,10 @@
 
 
 class Admin:
-    """ASGI application of ``/livez``, ``/readyz``, ``/metrics``, ``/status``.
+    """ASGI application of the administrative interface.
+
+    It serves ``/livez``, ``/readyz``, ``/metrics`` and ``/status``, and ``POST`` to
+    ``/drain/NAME`` and ``/document``.
 
     Parameters
     ----------
@@ -164,6 +170,7 @@
     cfg.errorlog = None
     cfg.graceful_timeout = graceful_timeout_s
     cfg.shutdown_timeout = graceful_timeout_s
+    # By default, hypercorn closes a connection after 1000 requests.
     cfg.keep_alive_max_requests = 1_000_000_000
     cfg.include_server_header = False
     await serve(app, cfg, shutdown_trigger=stop)
--- a/packages/daemon/src/hemlockhalld/process/base.py
+++ b/packages/daemon/src/hemlockhalld/process/base.py
@@ -63,6 +63,8 @@
         address = cfg.advertise or cfg.address
         name = settings.process.name
         self.link = Link(name, cfg.address, address, self, self.metrics, timing)
+        # Tasks in ``task_group`` are cancelled after the drain. Those in
+        # ``server_group`` end by themselves once ``stopped`` is set.
         self.task_group: anyio.abc.TaskGroup | None = None
         self.server_group: anyio.abc.TaskGroup | None = None
         self.stopped = anyio.Event()
@@ -157,7 +159,7 @@
         )
 
     async def run(self) -> None:
-        """Run until drained, or stopped by a second SIGTERM."""
+        """Run until drained; SIGTERM or SIGINT during the drain stops at once."""
         async with anyio.create_task_group() as group:
             self.task_group = group
             group.start_soon(self._handle_signals)
--- a/packages/daemon/src/hemlockhalld/process/calls.py
+++ b/packages/daemon/src/hemlockhalld/process/calls.py
@@ -22,9 +22,13 @@
     from hemlockhall_core.connection.peer import Peer
     from hemlockhalld.request.claim import Claim, Claims
 
+# Delays before the reads of a claim whose holder has not written the outcome.
 CLAIM_POLL_DELAYS_S = (0.05, 0.15, 0.4)
+# Sent to the caller with a refusal.
 RETRY_AFTER_S = 1.0
+# Characters of a path that are not percent-encoded, besides the unreserved ones.
 SAFE_PATH_CHARS = "/:@!$&'()*+,;=~"
+# Headers that apply to one connection only, and those that the HTTP client sets.
 HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
@@ -193,6 +197,7 @@
 
 
 def _end_to_end_headers(headers: list[tuple[str, str]]) -> list[tuple[str, str]]:
+    """Return the headers to forward, without the caller's API key."""
     kept = []
     for name, value in headers:
         lower = name.lower()
--- a/packages/daemon/src/hemlockhalld/process/chooser.py
+++ b/packages/daemon/src/hemlockhalld/process/chooser.py
@@ -12,7 +12,9 @@
 
     from hemlockhall_core.version.document import Endpoint
 
+# In layers of an endpoint without requests and of speed 1.
 CROSS_DATA_CENTRE_COST = 4.0
+# Largest relative deviation, random, of the cost of an endpoint's queue.
 COST_JITTER = 0.05
 
 
@@ -22,7 +24,7 @@
 
     ``in_flight`` counts the requests of this entry host at the endpoint.
     ``load`` is the number of all requests there that its side process last
-    reported, so it lags.
+    reported, which may be out of date.
     """
 
     endpoint: Endpoint
@@ -78,7 +80,7 @@
     def choose_pipeline(
         self, layers: int, candidates: list[Candidate]
     ) -> list[Endpoint]:
-        """Return the cheapest pipeline, as a shortest path over rising layers."""
+        """Return the cheapest pipeline, as a shortest path over increasing layers."""
         best: dict[str, tuple[float, Candidate | None]] = {}
         ordered = sorted(candidates, key=lambda c: c.endpoint.first_layer)
         for index, candidate in enumerate(ordered):
@@ -147,7 +149,7 @@
     def choose_pipeline(
         self, layers: int, candidates: list[Candidate]
     ) -> list[Endpoint]:
-        """Return the first pipeline found, with another choice at each call."""
+        """Return a pipeline; at each stage, calls take the endpoints in turn."""
         self._call_count += 1
         pipeline: list[Endpoint] = []
         covered_layers = 0
@@ -162,7 +164,7 @@
         return pipeline
 
     def choose_endpoint(self, candidates: list[Candidate]) -> Endpoint | None:
-        """Return the endpoints in turn."""
+        """Return the next endpoint in turn."""
         if not candidates:
             return None
         self._call_count += 1
--- a/packages/daemon/src/hemlockhalld/process/engine.py
+++ b/packages/daemon/src/hemlockhalld/process/engine.py
@@ -7,15 +7,19 @@
 
 
 class EngineError(Exception):
-    """The engine gave no valid response; its KV cache must be assumed lost."""
+    """The engine gave no valid response; its KV cache must be assumed lost.
+
+    An error of one request in a valid response is in ``StepResult.error``.
+    """
 
 
 class StepItem(msgspec.Struct, omit_defaults=True):
     """Input of one request in a step: the positions from ``position`` on.
 
-    The first stage passes ``text`` (the whole prompt) or ``tokens``, later
-    stages pass ``activations``. With ``sample`` the engine samples a token
-    after the last position.
+    The first stage passes ``text`` (the whole prompt) and the known ``tokens``, then
+    only ``tokens``; later stages pass ``activations``. ``prompt_length`` in tokens is
+    unset with ``text``. With ``sample`` the engine samples a token after the last
+    position.
     """
 
     request: str
@@ -74,6 +78,8 @@
 class EngineClient:
     """Client of the model engine next to this side process.
 
+    A slot is the place of a request in the engine, with its KV cache.
+
     Parameters
     ----------
     url : str
--- a/packages/daemon/src/hemlockhalld/process/entry.py
+++ b/packages/daemon/src/hemlockhalld/process/entry.py
@@ -35,7 +35,9 @@
     from hemlockhall_core.version.document import Endpoint, Model
     from hemlockhalld.request.generation import GenerationParams
 
+# Limit on the responses in progress when the server of callers stops.
 SERVE_SHUTDOWN_TIMEOUT_S = 3600.0
+# Time between two checks, and least time for which a removed peer was not needed.
 REMOVE_INTERVAL_S = 1.0
 
 
@@ -69,7 +71,7 @@
         return self._cfg.admin
 
     def in_flight(self) -> int:
-        """Return the number of callers' requests in progress."""
+        """Return the number of callers' open requests, health checks included."""
         return self.open_requests
 
     async def start_tasks(self) -> None:
@@ -87,7 +89,7 @@
         )
 
     async def wait_finished(self) -> None:
-        """Keep serving until the load balancer has noticed, then drain."""
+        """Keep serving for ``leave_notice_s``, then until the requests have ended."""
         # The load balancer sends requests until it sees ``/readyz`` fail; closing
         # the listening socket at once would break those.
         await anyio.sleep(self._cfg.leave_notice_s)
@@ -130,7 +132,7 @@
         return service_call
 
     def end_request(self, request: Generation | ServiceCall) -> None:
-        """Forget a request and free its slots at the endpoints."""
+        """Forget a request; free its slots, or cancel its call if not started."""
         if isinstance(request, Generation):
             self._requests.pop(request.params.request_id, None)
         else:
@@ -205,7 +207,7 @@
         return self._chooser.choose_endpoint(self._candidates(matching, excluded))
 
     async def _remove_old_peers(self) -> None:
-        """Close connections to endpoints that the document no longer contains."""
+        """Remove peers that are neither endpoints of the document nor seeds."""
         removed_since: dict[str, float] = {}
         while True:
             await anyio.sleep(REMOVE_INTERVAL_S)
--- a/packages/daemon/src/hemlockhalld/process/host_list.py
+++ b/packages/daemon/src/hemlockhalld/process/host_list.py
@@ -1,4 +1,4 @@
-"""Poller of the platform's host list, which lags."""
+"""Poller of the platform's host list, which may be out of date."""
 
 from __future__ import annotations
 
--- a/packages/daemon/src/hemlockhalld/process/limiter.py
+++ b/packages/daemon/src/hemlockhalld/process/limiter.py
@@ -1,4 +1,4 @@
-"""Rate and concurrency limits of customers, without a coordinator."""
+"""Rate and concurrency limits of customers; each host enforces an equal share."""
 
 from __future__ import annotations
 
@@ -29,6 +29,8 @@
 class Limiter:
     """Enforces this host's equal share of each customer's limits.
 
+    The rate allows bursts of one second's requests, and of at least one request.
+
     Parameters
     ----------
     host_count : callable
--- a/packages/daemon/src/hemlockhalld/process/side.py
+++ b/packages/daemon/src/hemlockhalld/process/side.py
@@ -33,6 +33,7 @@
     from hemlockhall_core.connection.peer import Peer
     from hemlockhall_core.process.setting import Settings
 
+# Time for the last messages to be sent before the process stops.
 FLUSH_WAIT_S = 0.2
 
 
@@ -43,6 +44,7 @@
         super().__init__(settings, "side", SIDE_SECTIONS)
         assert settings.side is not None
         self._cfg = settings.side
+        # Not used for a plain service, as ``Stages.run`` is not started then.
         engine = EngineClient(self._cfg.back_end, self._cfg.step_timeout_s)
         self._stages = Stages(self.link, engine, self.metrics, self._cfg.retain_bytes)
         self._stages.on_change = self.link.announce
@@ -68,7 +70,8 @@
     def not_ready_reason(self) -> str:
         """Return why the process takes no requests; empty if it is ready.
 
-        It is ready without a document, which comes with the first request.
+        It is ready without a document, which it requests from the first peer whose
+        batches announce a version.
         """
         return "leaving" if self.leaving else ""
 
@@ -81,7 +84,7 @@
             self.task_group.start_soon(self._claims.run)
 
     async def wait_finished(self) -> None:
-        """Wait until the requests have ended and their last messages are sent."""
+        """Wait until the requests have ended, then for ``FLUSH_WAIT_S``."""
         await super().wait_finished()
         await anyio.sleep(FLUSH_WAIT_S)
 
@@ -123,7 +126,7 @@
             self._stages.refuse(message, RetryReason.ENDPOINT_LEAVING)
         elif message.version < self.version():
             # The entry host does not have the version in force here yet and
-            # would run the request under replaced rules.
+            # would run the request by an older document.
             self._stages.refuse(message, RetryReason.STALE_VERSION)
         else:
             self._stages.on_open(message)
--- a/packages/daemon/src/hemlockhalld/process/stages.py
+++ b/packages/daemon/src/hemlockhalld/process/stages.py
@@ -31,6 +31,7 @@
     from hemlockhall_core.process.metric import Metrics
     from hemlockhalld.process.engine import EngineClient, StepItem, StepResult
 
+# Requests whose close is remembered, to ignore an opening that arrives after it.
 MAX_CLOSED_REQUESTS = 10_000
 ENGINE_RETRY_INTERVAL_S = 0.2
 
@@ -38,14 +39,15 @@
 class Stages:
     """The model requests at this endpoint.
 
-    ``failing`` is set while the engine does not respond, and ``on_change`` is
-    called when the state or the load of the endpoint changes.
+    ``failing`` is set until the engine was reset, after the start of ``run`` and after
+    a failure. ``on_change`` is called when the engine failed or was reset, and when a
+    request ends here.
 
     Parameters
     ----------
     link : Link
         Connections to the other processes.
-    engine : Engine
+    engine : EngineClient
         Client of the engine next to this process.
     metrics : Metrics
         Counters.
@@ -77,16 +79,16 @@
 
     def on_open(self, message: Open) -> None:
         """Start an attempt here and open it at the next stage."""
-        request = message.request
+        request_id = message.request
         # A close comes directly from the entry host and an opening from the
         # previous stage, so an opening can arrive after its own close. It would
         # occupy an engine slot for a request that has ended.
-        if message.attempt <= self._closed_attempts.get(request, 0):
+        if message.attempt <= self._closed_attempts.get(request_id, 0):
             self._metrics.count_ignored_message("open_after_close")
             return
-        stage = self.requests.get(request)
+        stage = self.requests.get(request_id)
         if stage is None:
-            stage = self.requests[request] = Stage(message, 0.0)
+            stage = self.requests[request_id] = Stage(message, 0.0)
         elif message.attempt <= stage.open.attempt:
             self._metrics.count_ignored_message("open_repeated")
             return
@@ -247,12 +249,12 @@
         """
         items: list[StepItem] = []
         now = time.monotonic()
-        for request in list(self._ready):
-            stage = self.requests.get(request)
+        for request_id in list(self._ready):
+            stage = self.requests.get(request_id)
             limit = math.ceil(len(self.requests) / self._stage_count(stage))
             if len(items) >= limit:
                 break
-            del self._ready[request]
+            del self._ready[request_id]
             if stage is None:
                 continue
             if now > stage.deadline:
@@ -320,13 +322,13 @@
                 return
 
     def _drop(self, stage: Stage) -> None:
-        request = stage.open.request
-        if self.requests.pop(request, None) is None:
+        request_id = stage.open.request
+        if self.requests.pop(request_id, None) is None:
             return
         self._retained_bytes -= _outputs_bytes(stage)
-        self._ready.pop(request, None)
+        self._ready.pop(request_id, None)
         if not stage.running_positions:
-            self._pending_cancels.append(request)
+            self._pending_cancels.append(request_id)
             self._wake.set()
         self.on_change()
 
--- a/packages/daemon/src/hemlockhalld/request/body.py
+++ b/packages/daemon/src/hemlockhalld/request/body.py
@@ -34,9 +34,9 @@
 
 
 class ModelBody(BaseModel):
-    """Fields that chat and plain completions have in common.
+    """Fields that chat and text completions have in common.
 
-    Other fields of the protocol are accepted and ignored.
+    Other fields of the OpenAI API are accepted and ignored.
     """
 
     model_config = ConfigDict(extra="ignore")
--- a/packages/daemon/src/hemlockhalld/request/claim.py
+++ b/packages/daemon/src/hemlockhalld/request/claim.py
@@ -30,6 +30,7 @@
     from hemlockhall_core.connection.message import Call, CallResponse
     from hemlockhall_core.process.table import Row, Table
 
+# Limit on the inserts of a claim, each followed by a read if it fails.
 MAX_CLAIM_ATTEMPTS = 3
 WRITE_RETRY_INTERVAL_S = 0.5
 CLAIM_KEY_PREFIX = "calls/"
--- a/packages/daemon/src/hemlockhalld/request/generation.py
+++ b/packages/daemon/src/hemlockhalld/request/generation.py
@@ -32,10 +32,14 @@
     from hemlockhall_core.process.metric import Metrics
     from hemlockhall_core.version.document import Endpoint, Model
 
+# Time without an event after which the stages are probed.
 SILENCE_LIMIT_S = 3.0
+# Limit on the wait of a retry for a pipeline.
 PIPELINE_WAIT_S = 5.0
 PIPELINE_RETRY_INTERVAL_S = 0.1
+# Sent to the caller with a refusal.
 RETRY_AFTER_S = 1.0
+# If the first stage refuses the first attempt for one of these, nothing has run.
 NOT_STARTED_REASONS = (RetryReason.ENDPOINT_LEAVING, RetryReason.STALE_VERSION)
 
 
@@ -166,6 +170,7 @@
         self._open_pipeline(pipeline)
 
     def _count_retry(self, reason: RetryReason) -> None:
+        """Count and log a failed attempt; raise :class:`Problem` if it was the last."""
         self.metrics.count_retry(reason)
         logger.bind(request=self.params.request_id, attempt=self.attempt).info(
             "retrying the generation: {}", reason.value
--- a/packages/daemon/src/hemlockhalld/request/problem.py
+++ b/packages/daemon/src/hemlockhalld/request/problem.py
@@ -54,7 +54,7 @@
     reason : RefusalReason
         Reason, which determines the HTTP status.
     detail : str
-        What is wrong and how to fix it.
+        What is wrong, and the fix if there is one.
     ran : Ran
         Whether the request ran at a back end.
     retry_after : float, optional
--- a/packages/daemon/src/hemlockhalld/request/response_sender.py
+++ b/packages/daemon/src/hemlockhalld/request/response_sender.py
@@ -31,7 +31,7 @@
     async def send_raw(
         self, status: int, body: bytes, headers: tuple[tuple[bytes, bytes], ...]
     ) -> None:
-        """Send a complete response with the given headers."""
+        """Send a complete response with the given headers; adds no content type."""
         headers = (*headers, *self._close_headers())
         start = {"type": "http.response.start", "status": status, "headers": headers}
         await self._send(start)
--- a/packages/daemon/src/hemlockhalld/request/service_call.py
+++ b/packages/daemon/src/hemlockhalld/request/service_call.py
@@ -31,7 +31,9 @@
     from hemlockhall_core.process.metric import Metrics
     from hemlockhall_core.version.document import Endpoint
 
+# The setting ``repairs`` applies to model requests only.
 MAX_ATTEMPTS = 4
+# Sent to the caller with a refusal.
 RETRY_AFTER_S = 1.0
 RETRY_REASONS = frozenset(retry.value for retry in RetryReason)
 
--- a/packages/daemon/src/hemlockhalld/request/stage.py
+++ b/packages/daemon/src/hemlockhalld/request/stage.py
@@ -22,7 +22,11 @@
     """State of a request at this stage, kept over its attempts.
 
     ``cached_positions`` counts the positions in the engine's KV cache, and
-    ``running_positions`` those in the step under way. Outputs from position
+    ``running_positions`` those in the step under way, or 1 while the first stage
+    runs the prompt. ``inputs`` are activations for the next step. ``tokens`` are the
+    ids of the known and the new tokens of the response, ``texts`` their texts at the
+    last stage (empty for known tokens that were not sampled here) and ``finish`` the
+    finish reason, empty before the end. Outputs from position
     ``outputs_start`` on are retained, so that the replacement of a lost next
     stage gets them without running the layers here again; those before
     ``sent_positions`` were sent. With ``awaiting_request`` the next stage has
