--- a/packages/core/src/hemlockhall_core/connection/peer.py
+++ b/packages/core/src/hemlockhall_core/connection/peer.py
@@ -276,7 +276,7 @@
     def _dial(self) -> None:
         old = self._sock
         sock = pynng.Push0(
-            send_buffer_size=4,
+            send_buffer_size=4,  # in batches
             reconnect_time_min=MIN_RECONNECT_MS,
             reconnect_time_max=MAX_RECONNECT_MS,
         )
--- a/packages/core/src/hemlockhall_core/version/text.py
+++ b/packages/core/src/hemlockhall_core/version/text.py
@@ -67,9 +67,9 @@
 def _check_round_trip(text: str, sections: dict[str, str]) -> None:
     # A line of a multi-line string that looks like a header would split the value;
     # the stored sections would then join to a different document.
-    whole = parse(text)
+    parsed = parse(text)
     try:
-        same = whole == parse(join(sections))
+        same = parsed == parse(join(sections))
     except DocumentError:
         same = False
     if not same:
--- a/packages/daemon/src/hemlockhalld/process/calls.py
+++ b/packages/daemon/src/hemlockhalld/process/calls.py
@@ -198,13 +198,13 @@
 
 def _end_to_end_headers(headers: list[tuple[str, str]]) -> list[tuple[str, str]]:
     """Return the headers to forward, without the caller's API key."""
-    kept = []
+    forwarded = []
     for name, value in headers:
         lower = name.lower()
         if lower in HOP_BY_HOP_HEADERS or lower == "authorization":
             continue
-        kept.append((lower, value))
-    return kept
+        forwarded.append((lower, value))
+    return forwarded
 
 
 __all__ = [
--- a/packages/daemon/src/hemlockhalld/process/chooser.py
+++ b/packages/daemon/src/hemlockhalld/process/chooser.py
@@ -130,8 +130,10 @@
         return min(candidates, key=self._endpoint_cost).endpoint
 
     def _endpoint_cost(self, candidate: Candidate) -> float:
-        link = self._transfer_cost(self.data_centre, candidate.endpoint.data_centre)
-        return link + _queue_cost(candidate)
+        transfer_cost = self._transfer_cost(
+            self.data_centre, candidate.endpoint.data_centre
+        )
+        return transfer_cost + _queue_cost(candidate)
 
     @staticmethod
     def _transfer_cost(from_data_centre: str, to_data_centre: str) -> float:
--- a/packages/daemon/src/hemlockhalld/request/body.py
+++ b/packages/daemon/src/hemlockhalld/request/body.py
@@ -84,11 +84,11 @@
     try:
         return body_type.model_validate(raw)
     except ValidationError as exc:
-        faults = []
+        messages = []
         for error in exc.errors():
             location = ".".join(str(part) for part in error["loc"]) or "body"
-            faults.append(f"{location}: {error['msg']}")
-        raise Problem(RefusalReason.MALFORMED_BODY, "; ".join(faults)) from exc
+            messages.append(f"{location}: {error['msg']}")
+        raise Problem(RefusalReason.MALFORMED_BODY, "; ".join(messages)) from exc
 
 
 __all__ = [
--- a/tests/core/version/test_document_cache.py
+++ b/tests/core/version/test_document_cache.py
@@ -38,7 +38,7 @@
         assert cache.version == 0
 
 
-class TestMakeResponse:
+class TestResponse:
     def test_a_peer_gets_only_the_texts_that_it_lacks(self) -> None:
         cache = make_cache()
         adopt(cache, 2, NEW)
