--- a/packages/daemon/src/hemlockhalld/request/body.py
+++ b/packages/daemon/src/hemlockhalld/request/body.py
@@ -34,9 +34,9 @@
 
 
 class ModelBody(BaseModel):
-    """Fields that chat and plain completions have in common.
+    """Fields that chat and text completions have in common.
 
-    Other fields of the protocol are accepted and ignored.
+    Other fields of the OpenAI API are accepted and ignored.
     """
 
     model_config = ConfigDict(extra="ignore")
@@ -84,11 +84,11 @@
     try:
         return body_type.model_validate(raw)
     except ValidationError as exc:
-        faults = []
+        messages = []
         for error in exc.errors():
             location = ".".join(str(part) for part in error["loc"]) or "body"
-            faults.append(f"{location}: {error['msg']}")
-        raise Problem(RefusalReason.MALFORMED_BODY, "; ".join(faults)) from exc
+            messages.append(f"{location}: {error['msg']}")
+        raise Problem(RefusalReason.MALFORMED_BODY, "; ".join(messages)) from exc
 
 
 __all__ = [
