--- a/packages/router/src/hemlockhall_router/membership/count.py
+++ b/packages/router/src/hemlockhall_router/membership/count.py
@@ -7,10 +7,11 @@
 if TYPE_CHECKING:
     from hemlockhall_router.membership.message import DataCentre
 
-# Hosts assumed until a message from another one arrives: a host that assumed to be
-# alone would spend the whole retry budget.
+# Hosts assumed until the hosts table was read or a second data centre is known: a
+# host that assumed to be alone would spend the whole retry budget.
 ASSUMED_HOSTS = 8
-# Seconds for which the highest host count of a data centre stays in use.
+# Seconds since a data centre last had its highest host count, after which a lower
+# count that it reports is used instead.
 PEAK_TTL_S = 60.0
 
 
@@ -18,7 +19,8 @@
     """Recent maximum of the host count of each data centre.
 
     During a network partition each side must not divide the shared limits among
-    its own hosts only, so a data centre that is unreachable keeps its last count.
+    its own hosts only, so a data centre that is unreachable keeps its last count,
+    without a time limit.
     """
 
     def __init__(self) -> None:
@@ -26,7 +28,10 @@
         self._peaks: dict[str, tuple[int, float]] = {}
 
     def set_minimum(self, hosts: int) -> None:
-        """Set the number of rows in the hosts table, used while no peer is known."""
+        """Set the lower bound of the result while only one data centre is known.
+
+        ``hosts`` is the number of rows in the hosts table.
+        """
         self._minimum = max(1, hosts)
 
     def upper_bound(self, data_centres: list[DataCentre], now: float) -> int:
--- a/packages/router/src/hemlockhall_router/membership/exchange.py
+++ b/packages/router/src/hemlockhall_router/membership/exchange.py
@@ -31,16 +31,18 @@
 
 M = TypeVar("M", bound=Message)
 
-# Interval of messages from a hub to a silent host, so that the hubs find each other
-# again after a network partition.
+# Interval of messages from a hub to a host that is not live, so that the hubs find
+# each other again after a network partition.
 RECONNECT_INTERVAL_S = 2.0
-# Minimum number of hosts that watch the store, if there are as many: fewer could all
-# lose the store at the same time.
+# Number of data centres from which on each has one store watcher; with fewer, each has
+# ``HUBS_PER_DATA_CENTRE``, as few watchers could all lose the store at the same time.
 MIN_STORE_WATCHERS = 3
 # A hub sends its summary to the other data centres once in this many rounds.
 SUMMARY_ROUNDS = 2
 # Limits of one message. ``MAX_ENDPOINT_KEYS`` holds for each list of endpoints, those
-# that are down and those presumed draining; contacts beyond the limit take turns.
+# that are down and those presumed draining. Keys and layer updates beyond the limits
+# are left out. Contacts beyond the limit are sent in later messages; the hubs of the
+# receiver's data centre are sent besides ``MAX_CONTACTS``.
 MAX_CONTACTS = 10
 MAX_ENDPOINT_KEYS = 16
 MAX_LAYER_UPDATES = 16
@@ -48,7 +50,7 @@
 
 @dataclass(slots=True)
 class LocalState:
-    """What this host reports about itself."""
+    """State of this host, and what it knows about endpoints, as sent to other hosts."""
 
     fence: int = 0
     store_stable: bool = False
@@ -81,9 +83,11 @@
     own : Contact
         This host.
     seeds : list of str
-        Addresses to contact first; they may be out of date.
+        Addresses of hosts, to contact while no live host has them; they may be out of
+        date.
     timing : Timing
-        Interval of rounds, and silence after which a host counts as dead.
+        Interval of rounds, and time without a message after which a host counts as
+        dead.
     get_local_state : callable
         Returns this host's ``LocalState``; called in each round.
     get_table_versions : callable
@@ -126,7 +130,7 @@
         return self.roster.own
 
     def add_seed(self, address: str) -> None:
-        """Add the address of a host to contact; its name need not be known."""
+        """Add a seed: the address of a host whose name need not be known."""
         if address != self.own.address and address not in self._seeds:
             self._seeds.append(address)
 
@@ -155,7 +159,10 @@
             self._send_summaries(now)
 
     def push(self) -> None:
-        """Send digests and summaries at once instead of in the next round, if a hub."""
+        """Send digests and summaries at once, if this host is a hub.
+
+        Otherwise they follow the next reports and a later round.
+        """
         now = self._clock()
         if not self.roster.is_hub(now):
             return
@@ -188,7 +195,7 @@
             if known is None or known.message.data_centre != message.data_centre:
                 self._push_pending = True
             # If the hubs of the other data centre fail, its hosts are still there:
-            # keep the summary until its next hub sends one.
+            # keep the summary for one more timeout, in which its next hub sends one.
             deadline += self._timing.host_timeout_s
             self._summaries[key] = _Received(message, now, deadline)
 
@@ -222,7 +229,7 @@
         return {load.endpoint: load for load in digest.loads(now)} if digest else {}
 
     def peer_store_stable(self) -> bool:
-        """Return whether another host reports no recent loss of the store."""
+        """Return whether another host reports that its ``store_stable`` is true."""
         now = self._clock()
         if any(received.message.store_stable for received in self._reports.values()):
             return True
@@ -241,8 +248,9 @@
     def is_store_watcher(self) -> bool:
         """Return whether this host is one of the store watchers.
 
-        The highest-ranked host of each data centre is; so is the second one while
-        there are fewer than ``MIN_STORE_WATCHERS`` data centres.
+        The highest-ranked host of each data centre is, among those that reach the
+        store; so is the second one while there are fewer than ``MIN_STORE_WATCHERS``
+        data centres.
         """
         names = self.roster.store_watchers(
             self._watchers_per_data_centre(), self._clock()
@@ -410,7 +418,7 @@
         """Return one summary for each other data centre.
 
         The one with the most hosts is used, as a hub that has just started knows
-        few of them; summaries of silent hubs come last.
+        few of them; summaries older than the host timeout come last.
         """
 
         def rank(received: _Received[Summary]) -> tuple[bool, int]:
@@ -461,21 +469,23 @@
         return None
 
     def _reconnect(self, report: Report, now: float) -> None:
-        """Contact silent hosts: all seeds while no host is live, else one at random.
+        """Contact hosts that are not live.
 
-        The latter is done by hubs only, each ``RECONNECT_INTERVAL_S``.
+        While no host is live, these are all seeds. A hub, as is a host without live
+        hosts, also contacts one seed or dead host at random each
+        ``RECONNECT_INTERVAL_S``.
         """
         live = {m.contact.address for m in self.roster.live(now)}
-        silent = [seed for seed in self._seeds if seed not in live]
+        not_live = [seed for seed in self._seeds if seed not in live]
         if not live:
-            for address in silent:
+            for address in not_live:
                 self._send(address, report)
         if now < self._next_reconnect_at or not self.roster.is_hub(now):
             return
         self._next_reconnect_at = now + RECONNECT_INTERVAL_S
-        silent += [m.contact.address for m in self.roster.silent(now)]
-        if silent:
-            self._send(random.choice(silent), report)  # noqa: S311
+        not_live += [m.contact.address for m in self.roster.silent(now)]
+        if not_live:
+            self._send(random.choice(not_live), report)  # noqa: S311
 
     def _expire(self, now: float) -> None:
         for table in (self._reports, self._digests, self._summaries):
--- a/packages/router/src/hemlockhall_router/membership/hosts.py
+++ b/packages/router/src/hemlockhall_router/membership/hosts.py
@@ -1,7 +1,7 @@
 """Messages between hosts, and transfer of table rows from host to host.
 
 A host that cannot reach the store would keep using an old configuration, a revoked
-key or a draining endpoint, and the calls of hundreds of hosts that all watch the
+key or a draining endpoint, and the calls of hundreds of hosts that all poll the
 store would cost more than the requests. A few store watchers long-poll it, and the
 other hosts fetch newer rows from the hosts that have them. Versions come from a
 single counter of the store, so a cached table at a version has the same rows
@@ -54,8 +54,8 @@
     from hemlockhall_router.process.timing import Timing
     from hemlockhall_router.process.watch import Watch
 
-# Longest time for a transfer of rows; a host that takes longer is unreachable or
-# frozen.
+# Longest time for a transfer of rows; a host that takes longer is unreachable or its
+# process is stopped.
 FETCH_TIMEOUT_S = 0.8
 # Seconds a host that is connected to the store waits before it fetches rows from
 # another host: it usually receives them from the store at the same time.
@@ -68,8 +68,10 @@
 MIN_STALENESS_FACTOR = 0.8
 # Interval of reading the hosts table while no other host is live.
 READ_HOSTS_INTERVAL_S = 4.0
+# Interval of attempts to write this host's row to the hosts table.
 REGISTER_RETRY_S = 1.0
-# Upper bound of the age of a table version, also sent if it was never confirmed.
+# Upper bound of the age of a table version, in seconds, also sent if the table was
+# never known to be complete.
 MAX_AGE_S = 3600.0
 # Interval of log lines about dropped messages.
 DROP_LOG_INTERVAL_S = 1.0
@@ -89,15 +91,15 @@
     own : Contact
         This host.
     seeds : list of str
-        Addresses to contact first.
+        Addresses of hosts, to contact while no live host has them.
     store : Store
         Holds the hosts table.
     timing : Timing
-        Intervals, and the silence after which a host counts as dead.
+        Intervals, and the time without a message after which a host counts as dead.
     get_local_state : callable
-        Returns what this host reports about itself.
+        Returns this host's state and what it knows about endpoints.
     on_down : callable
-        Called with the keys of endpoints that another host found down.
+        Called with the keys of endpoints that do not answer another host.
     on_presumed_draining : callable
         Called with the keys of endpoints that another host presumes draining.
     on_layer_updates : callable
@@ -160,10 +162,10 @@
     def should_watch(self) -> bool:
         """Return whether this host should call the store itself.
 
-        The store watchers do, and so does a host that has no table yet, has no live
-        peer, or has a table that was not confirmed in time.
+        The store watchers do, and so does a host that has not read all tables, has no
+        live peer, or has a table that was last known to be complete too long ago.
         """
-        if self._exchange.is_store_watcher() or not self._has_tables():
+        if self._exchange.is_store_watcher() or not self._can_rely_on_peers():
             return True
         oldest = (
             time.monotonic() - self._timing.max_staleness_s * self._staleness_factor
@@ -177,9 +179,11 @@
     def long_poll_s(self) -> float:
         """Return how long one call for changes waits at the store, in seconds.
 
-        The calls of all store watchers together confirm the cached tables of the
-        other hosts ``CONFIRMATIONS_PER_STALENESS`` times within the maximum
-        staleness.
+        Without a live peer it is ``Timing.long_poll_alone_s``, and if all hosts are
+        store watchers ``Timing.long_poll_s``. Otherwise the calls of a host that is
+        not a store watcher do not wait, and those of all store watchers together
+        confirm the cached tables of the other hosts ``CONFIRMATIONS_PER_STALENESS``
+        times within the maximum staleness, or more often.
         """
         if not self.has_live_peers():
             return self._timing.long_poll_alone_s
@@ -191,8 +195,8 @@
         shared_s = self._timing.max_staleness_s * watchers / CONFIRMATIONS_PER_STALENESS
         return min(self._timing.long_poll_s, shared_s)
 
-    def _has_tables(self) -> bool:
-        """Return whether all tables were read, and peers report newer versions."""
+    def _can_rely_on_peers(self) -> bool:
+        """Return whether all tables were read and a live peer can report newer ones."""
         if any(watch.version == 0 for watch in self._watches.values()):
             return False
         return self.has_live_peers()
@@ -217,7 +221,10 @@
         return sum(data_centre.hosts for data_centre in data_centres), sum_usage(usage)
 
     def data_centre_link_sharers(self) -> int:
-        """Return the number of hosts that share the link between two data centres."""
+        """Return an estimate of the hosts that share the link between two data centres.
+
+        The other data centre is assumed to have as many hosts as this one.
+        """
         return min(self.host_count(), 2 * self.local_host_count())
 
     def local_host_count(self) -> int:
@@ -236,11 +243,14 @@
         return max(data_centre.fence for data_centre in self._exchange.data_centres())
 
     def peer_store_stable(self) -> bool:
-        """Return whether another host reports no recent loss of the store."""
+        """Return whether another host reports that its ``store_stable`` is true."""
         return self._exchange.peer_store_stable()
 
     def has_active_peer(self) -> bool:
-        """Return whether another host is known that is not leaving."""
+        """Return whether another host is known that is not leaving.
+
+        It can plan in place of this one when this one leaves.
+        """
         own = 0 if self._exchange.own.leaving else 1
         return (
             sum(
@@ -251,7 +261,11 @@
         )
 
     def has_lowest_name(self) -> bool:
-        """Return whether this host's name is the lowest of those not leaving."""
+        """Return whether no host with a lower name is known that is not leaving.
+
+        Such a host may plan without the lease while the store is unreachable; it may
+        itself be leaving.
+        """
         names = [
             data_centre.lowest_name
             for data_centre in self._exchange.data_centres()
@@ -260,7 +274,7 @@
         return not names or self._own.name <= min(names)
 
     def push(self) -> None:
-        """Send the versions of the cached tables to the other hosts at once."""
+        """Send digests and summaries, with the table versions, at once, if a hub."""
         self._exchange.push()
 
     def _table_versions(self) -> list[TableVersion]:
@@ -285,7 +299,7 @@
                 try:
                     await udp.sendto(data, host, int(port))
                 except OSError as exc:
-                    # The next round sends it again, as after a lost datagram.
+                    # As after a lost datagram, a later message replaces it.
                     logger.debug("datagram not sent", address=address, cause=str(exc))
 
     async def _receive(self, udp: UDPSocket) -> None:
@@ -293,7 +307,7 @@
             try:
                 data, _ = await udp.receive()
             except OSError as exc:
-                # An earlier datagram was sent to a closed port.
+                # For example after a datagram was sent to a closed port.
                 logger.debug("receiving a datagram failed", cause=str(exc))
                 continue
             try:
@@ -324,6 +338,7 @@
             watch = self._watches.get(table_version.table)
             if watch is None:
                 continue
+            # True means that this host's table lacks changes.
             if not watch.confirm(
                 table_version.last_change,
                 table_version.complete_to,
@@ -368,6 +383,7 @@
             had=watch.version,
             rows=len(rows),
         )
+        # Whether it has all rows of the table, and not only the changed ones.
         if delta.whole:
             watch.replace(rows, delta.version)
         else:
@@ -383,7 +399,9 @@
             if isinstance(message, Fetch):
                 watch = self._watches.get(message.table)
             if watch is None or not isinstance(message, Fetch):
-                self._drop(f"no table for {message!r:.100}")
+                self._drop(
+                    f"not a request for rows of a shared table: {message!r:.100}"
+                )
                 return
             whole, rows = watch.changes_since(message.after)
             rows_sent = [TableRow(r.key, r.value, r.version, r.deleted) for r in rows]
@@ -403,6 +421,7 @@
         hosts_read = False
         while True:
             try:
+                # For both calls together.
                 deadline = time.monotonic() + 1.0
                 if version is None:
                     version = await self._write_own_row(deadline)
--- a/packages/router/src/hemlockhall_router/membership/message.py
+++ b/packages/router/src/hemlockhall_router/membership/message.py
@@ -10,7 +10,8 @@
 
 # Incremented with each change of the messages that an older host would misread.
 PROTOCOL_VERSION = 1
-# Longer datagrams are fragmented by IP, and lost with any of their fragments.
+# Longer datagrams are fragmented by IP, and lost with any of their fragments. Not
+# enforced: the limits of lists in ``exchange`` and ``tally`` keep messages short.
 MAX_DATAGRAM_BYTES = 1400
 # Entries in the cache of validated addresses.
 ADDRESS_CACHE_SIZE = 1024
@@ -19,15 +20,17 @@
 
 
 class MessageError(Exception):
-    """A datagram is malformed or of another protocol version."""
+    """A datagram is malformed, has another protocol version or an invalid address."""
 
 
 class Contact(msgspec.Struct, frozen=True, array_like=True):
     """Address and state of a host, as passed on between hosts.
 
-    ``capacity`` ranks hosts, ``boot`` identifies the run of its process, and
-    ``age_ms`` is the time since it was last seen, as known to the sender.
-    ``store_unreachable`` is true while the store does not answer it.
+    ``address`` is ``ip:port``, for UDP and TCP. ``capacity`` is its processor capacity
+    times its link bandwidth in Mbit/s; hosts with more rank first. ``boot`` identifies
+    the run of its process, ``leaving`` is true while it shuts down, and ``age_ms`` is
+    the time since it was last seen, as known to the sender. ``store_unreachable`` is
+    true while the store does not answer it.
     """
 
     name: str
@@ -41,11 +44,12 @@
 
 
 class TableVersion(msgspec.Struct, frozen=True, array_like=True):
-    """How far a host's cached table of the store is.
+    """Which changes of the store a host's cached table has.
 
     ``last_change`` is the version of the newest change in it and ``complete_to`` the
-    version up to which no change is missing. This was true of the store
-    ``age_ms`` ago, as confirmed by the store itself or by way of other hosts.
+    version up to which no change is missing. The table had all changes of the store
+    ``age_ms`` ago: the store responded then, to the host or to one that passed it
+    on.
     """
 
     table: str
@@ -57,9 +61,10 @@
 class Load(msgspec.Struct, frozen=True, array_like=True):
     """Requests in flight at an endpoint, which is identified by its key.
 
-    ``tokens`` are the tokens of these requests, ``prefill_tokens`` those of the
-    requests without an event so far. The last event from the endpoint arrived
-    ``event_age_ms`` ago.
+    ``tokens`` are their prompt and expected output tokens, ``prefill_tokens`` those of
+    the requests without an event of the response so far. The last event of any
+    response from the endpoint arrived ``event_age_ms`` ago. Endpoints whose keys
+    collide are not told apart.
     """
 
     endpoint: int
@@ -73,8 +78,8 @@
     """Layers of an endpoint, newer than its entry in the store.
 
     ``started_ms`` identifies the run of its process (Unix milliseconds), and
-    ``order_count`` counts the orders that it began; the higher count is newer.
-    The layers are ``first`` up to but not including ``end``.
+    ``order_count`` counts the planner's orders that it began; the higher count is
+    newer. The layers are ``first`` up to but not including ``end``.
     """
 
     endpoint: int
@@ -87,7 +92,8 @@
 class RetryUsage(msgspec.Struct, frozen=True, array_like=True):
     """Requests and retries of a service in the window of the retry budget.
 
-    ``retries`` also counts the retries that are reserved for the hosts but unused.
+    ``retries`` also counts retries that are unused, but that the retry budget reserves
+    for a host.
     """
 
     service: int
@@ -99,9 +105,11 @@
     """Aggregated state of the hosts of a data centre.
 
     ``active_hosts`` counts the hosts that are not leaving, and ``lowest_name`` is
-    the lowest of their names. ``fence`` is the highest fencing token of the planner's
-    lease among them, or 0. ``store_stable`` is true if at least one of them has
-    had no recent loss of the store. ``usage`` is the sum of their retry budget usage.
+    the lowest of their names, or empty. ``fence`` is the highest fencing token among
+    them of the lease of the planner, the host that assigns layers to endpoints, or 0.
+    ``store_stable`` is true if at least one of them has been connected to the store
+    for some time without a failed call. ``usage`` is the sum of their retry budget
+    usage.
     """
 
     name: str
@@ -118,9 +126,9 @@
 
     ``loads`` are the sender's own, or the sums over the hosts whose reports and
     summaries it passes on. ``down`` holds keys of endpoints that do not answer,
-    ``presumed_draining`` keys of those that drain without a notice in the store,
-    ``layer_updates`` layers that are newer than the entry in the store, and
-    ``contacts`` hosts that the receiver may not know.
+    ``presumed_draining`` keys of those that refuse requests though they have room, as
+    if draining, without a notice in the store, ``layer_updates`` layers that are newer
+    than the entry in the store, and ``contacts`` hosts that the receiver may not know.
     """
 
     protocol: int = PROTOCOL_VERSION
@@ -142,7 +150,11 @@
 
 
 class Digest(Message, frozen=True, array_like=True, kw_only=True, tag="digest"):
-    """Response to a report, about all other hosts and all data centres."""
+    """State of all hosts and data centres, sent to a host of the same data centre.
+
+    It is sent in response to a report, and by hubs at once after a change. A hub leaves
+    out the loads that the receiver reported; other hosts may include them.
+    """
 
     data_centres: list[DataCentre]
 
@@ -177,7 +189,7 @@
         if not _is_address(contact.address):
             raise MessageError(
                 f"not an IPv4 address and port: {contact.address!r:.60}; "
-                "correct listen.hosts in the settings of that host"
+                "correct listen.hosts in the settings of the host that has it"
             )
     return message
 
--- a/packages/router/src/hemlockhall_router/membership/roster.py
+++ b/packages/router/src/hemlockhall_router/membership/roster.py
@@ -17,7 +17,8 @@
 HUBS_PER_DATA_CENTRE = 2
 # Seconds for which the list of live hosts is cached: each message needs it.
 VIEW_TTL_S = 0.05
-# Seconds without a sign of life after which a host is no longer contacted.
+# Seconds after the last sign of life of a host, or after it was added, until it is
+# dropped.
 FORGET_S = 30.0
 
 
@@ -26,8 +27,8 @@
     """A known host; times are monotonic, in seconds.
 
     ``last_seen_at`` is when this or another host last received a message from it,
-    ``unanswered_since`` the time of the first message to it that it has not
-    answered, or None.
+    ``added_at`` when it was added here, ``unanswered_since`` the time of the first
+    message to it that it has not answered, or None.
     """
 
     contact: Contact
@@ -44,7 +45,7 @@
     own : Contact
         This host.
     timing : Timing
-        Provides the silence after which a host counts as dead.
+        Provides the time without a message after which a host counts as dead.
     """
 
     def __init__(self, own: Contact, timing: Timing) -> None:
@@ -56,7 +57,7 @@
         self._view_deadline = float("-inf")
 
     def update_own(self, *, leaving: bool, store_unreachable: bool) -> None:
-        """Update the state of this host that decides on its part as hub or watcher."""
+        """Update the state of this host that decides whether it is a hub or watcher."""
         if (leaving, store_unreachable) == (
             self.own.leaving,
             self.own.store_unreachable,
@@ -68,7 +69,7 @@
         self._view_deadline = float("-inf")
 
     def record_message(self, contact: Contact, now: float) -> bool:
-        """Record a message from a host; return whether this run of it is new."""
+        """Record a message from a host; return whether it is the first of its run."""
         known = self.members.get(contact.name)
         new_run = known is None or known.contact.boot != contact.boot
         member = self._record(contact, now, now)
@@ -162,7 +163,7 @@
         return any(contact.name == self.own.name for contact in hubs)
 
     def silent(self, now: float) -> list[Member]:
-        """Return the hosts that count as dead but are not forgotten yet."""
+        """Return the hosts that count as dead but are not dropped yet."""
         timeout_s = self._timing.host_timeout_s
         return [m for m in self.members.values() if now - m.last_seen_at >= timeout_s]
 
@@ -194,12 +195,12 @@
         return self._view
 
     def forget(self, now: float) -> list[Contact]:
-        """Drop and return the hosts without a sign of life for ``FORGET_S``."""
-        gone = []
+        """Drop and return the hosts last seen and added over ``FORGET_S`` ago."""
+        dropped = []
         for name, member in list(self.members.items()):
             if now - max(member.last_seen_at, member.added_at) > FORGET_S:
-                gone.append(self.members.pop(name).contact)
-        return gone
+                dropped.append(self.members.pop(name).contact)
+        return dropped
 
 
 def _rank(contact: Contact) -> tuple[bool, int, int, str]:
--- a/packages/router/src/hemlockhall_router/membership/tally.py
+++ b/packages/router/src/hemlockhall_router/membership/tally.py
@@ -9,9 +9,11 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# Endpoints in one message: only the busiest, as the size of a datagram is limited.
+# Maximum number of loads in one message, one for each endpoint: those with the most
+# tokens, as the size of a datagram is limited.
 MAX_LOADS = 64
-# Upper bound of ``event_age_ms``, also sent if no event has arrived yet.
+# Upper bound of ``event_age_ms``, in milliseconds, also sent if no event has arrived
+# yet.
 MAX_EVENT_AGE_MS = 60_000
 
 
--- a/tests/router/membership/test_exchange.py
+++ b/tests/router/membership/test_exchange.py
@@ -33,7 +33,7 @@
         assert len(network.hubs()) <= HUBS_PER_DATA_CENTRE * data_centres
 
     def test_all_hosts_notice_a_crash(self, hosts: int, data_centres: int) -> None:
-        """Guards against counting the shares and the loads of hosts that are gone."""
+        """Guards against counting dead hosts, for retry budget shares and for loads."""
         network = started(hosts, data_centres)
         network.hubs()[0].alive = False
         network.run(CRASH_S)
@@ -64,7 +64,10 @@
 
 class TestConvergence:
     def test_bounds_hold_with_400_hosts(self) -> None:
-        """Guards against a convergence time that grows with the number of hosts."""
+        """Guards against a convergence time that grows with the number of hosts.
+
+        A change must arrive within a third of ``config_ms``, which is 2 s.
+        """
         network = started(400, 15)
         assert {host.hosts() for host in network.live()} == {400}
         network.store_version = 2
@@ -87,14 +90,15 @@
         few, many = started(30, 5), started(130, 5)
         assert many.sent_each() <= few.sent_each() * 1.2
 
-    def test_a_datagram_is_not_fragmented(self) -> None:
+    def test_mean_datagram_is_not_fragmented(self) -> None:
+        """Guards against datagrams of a host that exceed 1400 bytes in the mean."""
         network = started(68, 5)
         loads = [Load(key, 1, 900, 0, 10) for key in range(130)]
         for host in network.live():
             host.loads = loads[:40]
         network.run(START_S)
-        largest = max(h.sent_bytes / h.sent for h in network.live())
-        assert largest <= 1400
+        largest_mean = max(h.sent_bytes / h.sent for h in network.live())
+        assert largest_mean <= 1400
 
 
 class TestFailures:
@@ -134,7 +138,10 @@
     def test_a_change_reaches_all_within_a_third_of_the_bound(
         self, hosts: int, data_centres: int
     ) -> None:
-        """Guards against a configuration that reaches other data centres late."""
+        """Guards against a configuration that reaches other data centres late.
+
+        The bound is ``config_ms``, 2 s.
+        """
         network = started(hosts, data_centres)
         network.store_version = 2
         network.run(2.0 / 3)
--- a/tests/router/membership/test_message.py
+++ b/tests/router/membership/test_message.py
@@ -1,4 +1,4 @@
-"""Decoding of valid, foreign and malformed datagrams."""
+"""Decoding of valid and malformed datagrams, and of another protocol version."""
 
 from __future__ import annotations
 
