--- a/tests/platform/test_dialect.py
+++ b/tests/platform/test_dialect.py
@@ -131,7 +131,7 @@
         assert routing.customers[b"k2"].name == "choir"
         assert routing.keys_required
 
-    def test_no_key_is_required_without_customers(self) -> None:
+    def test_no_key_is_required_without_a_list_of_customers(self) -> None:
         entry = {key: CONFIGURATION[key] for key in ("version", "routes", "services")}
         routing = DIALECT.decode_routing("config", encode(entry))
         assert routing is not None
--- a/tests/platform/test_names.py
+++ b/tests/platform/test_names.py
@@ -1,4 +1,4 @@
-"""The platform's names are used only in its own package."""
+"""None of ``NAMES`` is used in the other packages and their tests."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parents[2]
-# Headers, paths, tables and fields that only the adapter may contain.
+# Headers, paths, fields and other names of the platform that must not be used there.
 NAMES = re.compile(
     r"x-hemlockhall|at-server|api/(?:readyz|report|order|rows|blob)"
     r"|attempt-id|server-stamp|hop-count|kvTotal|latencyGoalMs|maxAttempts"
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -38,9 +38,9 @@
 
 @dataclass
 class ScriptedServer:
-    """Answers each call with the next of ``answers``; None closes the connection."""
+    """Answers each call with the next of ``responses``; None closes the connection."""
 
-    answers: list[tuple[int, dict] | None]
+    responses: list[tuple[int, dict] | None]
     calls: list[tuple[str, dict, dict]] = field(default_factory=list)
 
     async def serve(self, stream: SocketStream) -> None:
@@ -51,10 +51,10 @@
                 target = urlsplit(head.target.decode())
                 query = {key: value[0] for key, value in parse_qs(target.query).items()}
                 self.calls.append((target.path, query, json.loads(body or b"{}")))
-                answer = self.answers.pop(0)
-                if answer is None:
+                response = self.responses.pop(0)
+                if response is None:
                     return
-                status, value = answer
+                status, value = response
                 text = json.dumps(value).encode()
                 length = f"Content-Length: {len(text)}"
                 head_text = f"HTTP/1.1 {status} X\r\n{length}\r\n\r\n"
@@ -64,9 +64,9 @@
 
 @asynccontextmanager
 async def scripted_store(
-    *answers: tuple[int, dict] | None,
+    *responses: tuple[int, dict] | None,
 ) -> AsyncIterator[tuple[PlatformStore, ScriptedServer]]:
-    server = ScriptedServer(list(answers))
+    server = ScriptedServer(list(responses))
     listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
     port = listener.extra(SocketAttribute.local_port)
     async with anyio.create_task_group() as group:
@@ -82,20 +82,20 @@
         first = {"rows": [row("a"), row("b")], "hasMore": True, "ver": 5, "nowMs": 9}
         second = {"rows": [row("c")], "hasMore": False, "ver": 6, "nowMs": 2500}
         async with scripted_store((200, first), (200, second)) as (store, server):
-            page = await store.read(Table.ENDPOINTS, deadline())
-            assert [entry.key for entry in page.rows] == ["a", "b", "c"]
-            assert (page.version, page.store_time_s) == (6, 2.5)
+            result = await store.read(Table.ENDPOINTS, deadline())
+            assert [entry.key for entry in result.rows] == ["a", "b", "c"]
+            assert (result.version, result.store_time_s) == (6, 2.5)
             assert server.calls[0][1] == {"table": "servers"}
             assert server.calls[1][1]["from"] == "b\0"
 
     async def test_changes_include_deleted_rows(self) -> None:
         rows = [row("a", b"\x00\xff", 7), row("b", ver=8, deleted=True)]
         async with scripted_store((200, {"rows": rows, "ver": 8})) as (store, server):
-            page = await store.changes(Table.ROUTING, 5, 1.5)
+            result = await store.changes(Table.ROUTING, 5, 1.5)
             assert server.calls[0][0] == "/api/rows-feed"
             assert server.calls[0][1] == {"table": "op", "after": "5", "waitMs": "1500"}
-            assert page.rows[0].value == b"\x00\xff"
-            assert page.rows[1].deleted
+            assert result.rows[0].value == b"\x00\xff"
+            assert result.rows[1].deleted
 
     async def test_compacted_history_raises(self) -> None:
         async with scripted_store((410, {})) as (store, _):
